--- a/internal/core/fair/account.go
+++ b/internal/core/fair/account.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// Account is what became of a customer's requests at one router, in tokens by the count
-// in which shares are owed.
+// Account counts what happened to a customer's requests at one router, in tokens as counted for
+// fair shares.
 type Account struct {
-	Asked     float64
-	HostLoad  float64 // refused for this router's own load
-	OverShare float64 // refused since the customer has more than its share
-	NoRoom    float64 // refused since no server has room
-	Placed    float64 // sent to a server
-	Begun     float64 // a server has begun it
-	TakenBack float64 // counted as served at first, and not any more
+	Requested    float64
+	HostOverload float64 // refused because this router's host is overloaded
+	OverShare    float64 // refused because the customer is above its share
+	NoCapacity   float64 // refused because no server has capacity
+	Placed       float64 // sent to a server
+	Started      float64 // a server has started the request
+	Reverted     float64 // counted as served, then undone because no server started the request
 }
 
-// refused is what the router refused, for whatever reason.
-func (a Account) refused() float64 { return a.HostLoad + a.OverShare + a.NoRoom }
+// refused returns the tokens refused for any reason.
+func (a Account) refused() float64 { return a.HostOverload + a.OverShare + a.NoCapacity }
 
-// Accounts are the accounts of one span of time, by customer.
+// Accounts holds the accounts of one period by customer.
 type Accounts map[string]*Account
 
-// Of returns the customer's account.
-func (a Accounts) Of(customer string) *Account {
+// For returns the customer's account and creates it if there is none.
+func (a Accounts) For(customer string) *Account {
 	account := a[customer]
 	if account == nil {
 		account = &Account{}
@@ -33,9 +33,9 @@
 	return account
 }
 
-// MostRefused returns the customers of which most was refused, at most so many, and none
-// of which nothing was.
-func (a Accounts) MostRefused(most int) []string {
+// MostRefused returns up to limit customers in descending order of refused tokens. Customers
+// without refusals are left out.
+func (a Accounts) MostRefused(limit int) []string {
 	var names []string
 	for name, account := range a {
 		if account.refused() > 0 {
@@ -48,5 +48,5 @@
 		}
 		return cmp.Compare(x, y)
 	})
-	return names[:min(most, len(names))]
+	return names[:min(limit, len(names))]
 }
--- a/internal/core/fair/account_test.go
+++ b/internal/core/fair/account_test.go
@@ -6,13 +6,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAccountsNameThoseOfWhomMostWasRefused(t *testing.T) {
-	a := Accounts{}
-	a.Of("served").Placed = 100
-	a.Of("little").NoRoom = 1
-	a.Of("host").HostLoad = 30
-	a.Of("share").OverShare = 20
-	a.Of("share").NoRoom = 20
-	assert.DeepEqual(t, a.MostRefused(9), []string{"share", "host", "little"})
-	assert.DeepEqual(t, a.MostRefused(1), []string{"share"})
+func TestMostRefusedOrdersCustomersByRefusedTokens(t *testing.T) {
+	accounts := Accounts{}
+	accounts.For("served").Placed = 100
+	accounts.For("little").NoCapacity = 1
+	accounts.For("host").HostOverload = 30
+	accounts.For("share").OverShare = 20
+	accounts.For("share").NoCapacity = 20
+	assert.DeepEqual(t, accounts.MostRefused(9), []string{"share", "host", "little"})
+	assert.DeepEqual(t, accounts.MostRefused(1), []string{"share"})
 }
--- a/internal/core/fair/deficit.go
+++ b/internal/core/fair/deficit.go
@@ -6,83 +6,83 @@
 )
 
 const (
-	// deficitFraction is the fraction of the best served customer's throughput below which a customer
-	// that asks for as much is below its share, if it stays there. The rule of fair shares is broken
-	// at half, and rates are known 0.3 s late.
+	// deficitFraction is the fraction of the best-served customer's throughput below which a
+	// customer with as much demand has a deficit, if it stays there for deficitAveragingTime.
+	// Fairness is violated at half, and rates are known 0.3 s late.
 	deficitFraction = 0.73
-	// deficitMemory is for how long it has to stay there. Of many customers with the same demand, one
-	// has less for a second or two by chance.
-	deficitMemory = 5 * time.Second
-	// leadFactor is how many times the throughput of the customer with the largest deficit the others
-	// may have, if that is more than their share.
+	// deficitAveragingTime is the time constant for detecting a sustained deficit. Among many
+	// customers with equal demand, a single one falls behind for a second or two by chance.
+	deficitAveragingTime = 5 * time.Second
+	// leadFactor limits other customers to this multiple of the lowest throughput of a customer
+	// with a deficit, if that is more than their share.
 	leadFactor = 1.4
 )
 
-// deficit is how customers stand against the best served one.
+// deficit compares customers with the best-served one.
 type deficit struct {
-	sums map[string]Rates // of all routers, averaged over deficitMemory
-	at   time.Time        // when they were averaged last
-	any  bool             // customers are below their shares, by enough to throttle others
-	// least is the lowest throughput of a customer that asks for as much as the best served one; 0: none
-	// has a deficit.
-	least float64
+	averages    map[string]Rates // fleet rates averaged over deficitAveragingTime
+	averagedAt  time.Time        // time of the last averaging
+	significant bool             // the total deficit is large enough to throttle other customers
+	// lowest is the lowest throughput of a customer with a deficit whose demand matches the
+	// best-served customer; 0 if no customer has a deficit.
+	lowest float64
 }
 
-// update takes the sums of all routers.
-func (d *deficit) update(sums map[string]Rates, now time.Time) {
-	d.average(sums, now)
-	best, bestLong := bestOf(sums), bestOf(d.sums)
-	sum := 0.0
-	least := math.Inf(1)
-	for name, r := range sums {
-		long := d.sums[name]
-		own := deficitOf(r, long, best, bestLong)
-		sum += own
-		if own > 0 && long.Asked >= bestLong*deficitFraction {
-			least = min(least, max(long.Served, r.Served))
+// update recomputes the deficit from the fleet rates.
+func (d *deficit) update(totals map[string]Rates, now time.Time) {
+	d.average(totals, now)
+	best, bestAverage := bestServed(totals), bestServed(d.averages)
+	total := 0.0
+	lowest := math.Inf(1)
+	for name, r := range totals {
+		average := d.averages[name]
+		shortage := customerDeficit(r, average, best, bestAverage)
+		total += shortage
+		if shortage > 0 && average.Demand >= bestAverage*deficitFraction {
+			lowest = min(lowest, max(average.Served, r.Served))
 		}
 	}
-	d.any = sum > served(sums)*contendedAt
-	d.least = 0
-	if !math.IsInf(least, 1) {
-		d.least = least
+	d.significant = total > totalServed(totals)*contentionFraction
+	d.lowest = 0
+	if !math.IsInf(lowest, 1) {
+		d.lowest = lowest
 	}
 }
 
-// deficitOf returns how far a customer's throughput is below the best served customer's. Short dips
-// don't count unless they are deep.
-func deficitOf(r, long Rates, best, bestLong float64) float64 {
-	if short(long, bestLong, deficitFraction) > 0 {
-		return short(r, best, deficitFraction)
+// customerDeficit returns how far a customer's throughput is below that of the best-served
+// customer. Short dips count only below belowBestFraction.
+func customerDeficit(r, average Rates, best, bestAverage float64) float64 {
+	if shortfall(average, bestAverage, deficitFraction) > 0 {
+		return shortfall(r, best, deficitFraction)
 	}
-	return short(r, best, halfPart)
+	return shortfall(r, best, belowBestFraction)
 }
 
-// average brings the averages up to date.
-func (d *deficit) average(sums map[string]Rates, now time.Time) {
-	kept := 0.0
-	if !d.at.IsZero() {
-		kept = math.Exp(-float64(now.Sub(d.at)) / float64(deficitMemory))
+// average updates the moving averages with the current rates.
+func (d *deficit) average(totals map[string]Rates, now time.Time) {
+	weight := 0.0
+	if !d.averagedAt.IsZero() {
+		weight = math.Exp(-float64(now.Sub(d.averagedAt)) / float64(deficitAveragingTime))
 	}
-	d.at = now
-	for name := range d.sums {
-		if _, ok := sums[name]; !ok {
-			delete(d.sums, name)
+	d.averagedAt = now
+	for name := range d.averages {
+		if _, ok := totals[name]; !ok {
+			delete(d.averages, name)
 		}
 	}
-	for name, r := range sums {
-		old := d.sums[name]
-		d.sums[name] = Rates{
-			Asked:  old.Asked*kept + r.Asked*(1-kept),
-			Served: old.Served*kept + r.Served*(1-kept),
+	for name, r := range totals {
+		previous := d.averages[name]
+		d.averages[name] = Rates{
+			Demand: previous.Demand*weight + r.Demand*(1-weight),
+			Served: previous.Served*weight + r.Served*(1-weight),
 		}
 	}
 }
 
-// bestOf is the rate of the best served customer.
-func bestOf(sums map[string]Rates) float64 {
+// bestServed returns the highest served rate of any customer.
+func bestServed(totals map[string]Rates) float64 {
 	best := 0.0
-	for _, r := range sums {
+	for _, r := range totals {
 		best = max(best, r.Served)
 	}
 	return best
--- a/internal/core/fair/fair.go
+++ b/internal/core/fair/fair.go
@@ -1,6 +1,6 @@
-// Package fair knows which customers have more than their max-min share of
-// what the fleet serves. Each router counts what it was asked and what it
-// served; routers tell each other their sums. It has no input or output.
+// Package fair determines which customers exceed their max-min fair share of the fleet's
+// throughput. Each router measures the demand and the served rate of its customers, and routers
+// exchange their rates. The package does no I/O.
 package fair
 
 import (
@@ -10,258 +10,256 @@
 )
 
 const (
-	// memory is the time over which rates are averaged: half of the window in
-	// which shares are owed (4 s where the platform tells one).
-	memory = 2 * time.Second
-	// stale is how long a router's report counts.
-	stale = 1500 * time.Millisecond
-	// fresh is how long a computed level is used.
-	fresh = 50 * time.Millisecond
-	// margin is how far above the level a customer may be before it waits.
-	margin = 1.1
-	// farOverPart is how many times its share a customer has that is to get nothing while
-	// others lack of theirs.
-	farOverPart = 1.2
-	// belowPart is the part of its share below which a customer goes before
-	// others; the rule of fair shares is broken at half.
-	belowPart = 0.7
-	// halfPart is the part of what the best served customer gets below which one that asks
-	// for as much counts as short: the rule of fair shares is broken at half. While servers
-	// have time customers above their shares are served, one that came by all hosts 1.5 times
-	// its share, and 0.7 of a share is less than half of that.
-	halfPart = 0.6
-	// contendedAt is the part of all service that customers must lack of their
-	// shares for others to give way: less is one request that was refused while
-	// its customer asked for little else.
-	contendedAt = 0.01
-	// leastRate is the rate below which a customer is forgotten, tokens/s.
-	leastRate = 1.0
+	// averagingTime is the time constant of the rate averages: half of the window over which
+	// shares are guaranteed (4 s where the platform specifies one).
+	averagingTime = 2 * time.Second
+	// reportTTL is how long a peer's report is used.
+	reportTTL = 1500 * time.Millisecond
+	// levelTTL is how long a computed level is reused.
+	levelTTL = 50 * time.Millisecond
+	// aboveShareFactor is the multiple of the level above which a customer counts as above its
+	// share.
+	aboveShareFactor = 1.1
+	// farAboveShareFactor is the multiple of its share above which a customer is refused
+	// everything while others are below theirs.
+	farAboveShareFactor = 1.2
+	// belowShareFraction is the fraction of its share below which a customer gets precedence over
+	// others. Fairness is violated at half.
+	belowShareFraction = 0.7
+	// belowBestFraction is the fraction of the best-served customer's throughput below which a
+	// customer with as much demand counts as short: fairness is violated at half. A comparison
+	// with the share alone does not suffice: while servers have spare capacity, customers above
+	// their shares are served too. One whose requests arrived through all hosts got 1.5 times its
+	// share, and 0.7 of a share is less than half of that.
+	belowBestFraction = 0.6
+	// contentionFraction is the fraction of the total throughput that customers must lack before
+	// others are throttled. Anything less is a single refused request of a customer with little
+	// other demand.
+	contentionFraction = 0.01
+	// minRate is the demand below which a customer is no longer tracked, in tokens/s.
+	minRate = 1.0
 )
 
-// Rates are what one customer asked and got, in tokens a second.
+// Rates are one customer's demand and served rate, in tokens/s.
 type Rates struct {
-	Asked  float64
+	Demand float64
 	Served float64
 }
 
-// Plus returns the sum of both.
 func (r Rates) Plus(o Rates) Rates {
-	return Rates{Asked: r.Asked + o.Asked, Served: r.Served + o.Served}
+	return Rates{Demand: r.Demand + o.Demand, Served: r.Served + o.Served}
 }
 
-// rate is a sum that decays.
-type rate struct {
-	asked  float64
-	served float64
-	at     time.Time
-	area   float64 // of the rate asked over time since the ration was looked at last, tokens
-	ration ration
+// decayingRates are exponentially decaying averages of one customer's rates at this router.
+type decayingRates struct {
+	demand         float64
+	served         float64
+	at             time.Time
+	demandIntegral float64 // integral of the demand since the quota was last updated, tokens
+	quota          quota
 }
 
-// decay brings the sums to now.
-func (r *rate) decay(now time.Time) {
-	f := math.Exp(-float64(now.Sub(r.at)) / float64(memory))
-	r.area += r.asked * (1 - f) * memory.Seconds()
-	r.asked *= f
+// decay updates the averages to the given time.
+func (r *decayingRates) decay(now time.Time) {
+	f := math.Exp(-float64(now.Sub(r.at)) / float64(averagingTime))
+	r.demandIntegral += r.demand * (1 - f) * averagingTime.Seconds()
+	r.demand *= f
 	r.served *= f
 	r.at = now
 }
 
-// report is what another router said.
+// report holds the rates that a peer reported.
 type report struct {
 	at    time.Time
 	rates map[string]Rates
 }
 
-// Meter counts at one router. It is not safe for concurrent use.
+// Meter measures the rates of customers at one router and combines them with those of its peers.
+// It is not safe for concurrent use.
 type Meter struct {
-	own   map[string]*rate
-	peers map[string]report
-	sums  map[string]Rates
-	level float64
-	due   float64 // the level of what the servers are said to make; of what is served if nobody says
-	// capacity is what the backend servers make together, tokens a second, as the
-	// configuration says; 0: it does not.
-	capacity  float64
-	contended bool // customers lack much of their shares
-	deficit   deficit
-	episode   time.Time // when a customer fell below its share last
-	deficitAt time.Time // when one was below it last
-	at        time.Time
+	own           map[string]*decayingRates
+	peers         map[string]report
+	totals        map[string]Rates
+	level         float64
+	capacityLevel float64 // level for the configured capacity; if there is none, for the served rate
+	// capacity is the configured throughput of all backend servers in tokens/s; 0 if it is not
+	// configured.
+	capacity      float64
+	contended     bool // customers are far below their shares
+	deficit       deficit
+	shortageStart time.Time // start of the latest shortage
+	lastDeficit   time.Time // last time a customer had a significant deficit
+	at            time.Time // last update
 }
 
 // New returns an empty meter.
 func New() *Meter {
-	return &Meter{own: map[string]*rate{}, peers: map[string]report{}, sums: map[string]Rates{}, deficit: deficit{sums: map[string]Rates{}}}
+	return &Meter{own: map[string]*decayingRates{}, peers: map[string]report{}, totals: map[string]Rates{}, deficit: deficit{averages: map[string]Rates{}}}
 }
 
-// get returns the customer's sums, brought to now.
-func (m *Meter) get(customer string, now time.Time) *rate {
+// customerRates returns the customer's rates at this router, decayed to now.
+func (m *Meter) customerRates(customer string, now time.Time) *decayingRates {
 	r := m.own[customer]
 	if r == nil {
-		r = &rate{at: now}
+		r = &decayingRates{at: now}
 		m.own[customer] = r
 	}
 	r.decay(now)
 	return r
 }
 
-// perSecond turns an amount into the rate that it adds to.
-const perSecond = float64(time.Second) / float64(memory)
+// ratePerToken is the rate that one token adds to a decaying average.
+const ratePerToken = float64(time.Second) / float64(averagingTime)
 
-// Asked counts a request of so many tokens.
-func (m *Meter) Asked(customer string, tokens float64, now time.Time) {
-	m.get(customer, now).asked += tokens * perSecond
+// RecordDemand records a request of the given size.
+func (m *Meter) RecordDemand(customer string, tokens float64, now time.Time) {
+	m.customerRates(customer, now).demand += tokens * ratePerToken
 }
 
-// Served counts a request that was sent to a server.
-func (m *Meter) Served(customer string, tokens float64, now time.Time) {
-	r := m.get(customer, now)
-	r.served += tokens * perSecond
-	if _, counts := m.rationing(now); counts {
-		r.ration.take(tokens)
+// RecordServed records a request that was sent to a server.
+func (m *Meter) RecordServed(customer string, tokens float64, now time.Time) {
+	r := m.customerRates(customer, now)
+	r.served += tokens * ratePerToken
+	if _, active := m.quotaGrowth(now); active {
+		r.quota.spend(tokens)
 	}
 }
 
-// Undo takes back what Served counted for a request that no server began.
-func (m *Meter) Undo(customer string, tokens float64, now time.Time) {
-	r := m.get(customer, now)
-	r.served = max(0, r.served-tokens*perSecond)
-	if _, counts := m.rationing(now); counts {
-		r.ration.take(-tokens)
+// UndoServed reverts RecordServed for a request that no server started.
+func (m *Meter) UndoServed(customer string, tokens float64, now time.Time) {
+	r := m.customerRates(customer, now)
+	r.served = max(0, r.served-tokens*ratePerToken)
+	if _, active := m.quotaGrowth(now); active {
+		r.quota.spend(-tokens)
 	}
 }
 
-// Peer takes another router's report.
-func (m *Meter) Peer(peer string, rates map[string]Rates, now time.Time) {
+// SetPeerRates records a peer's report.
+func (m *Meter) SetPeerRates(peer string, rates map[string]Rates, now time.Time) {
 	m.peers[peer] = report{at: now, rates: rates}
 }
 
-// Own returns this router's rates.
-func (m *Meter) Own(now time.Time) map[string]Rates {
+// OwnRates returns the rates at this router.
+func (m *Meter) OwnRates(now time.Time) map[string]Rates {
 	all := make(map[string]Rates, len(m.own))
 	for name, r := range m.own {
 		r.decay(now)
-		if r.asked < leastRate {
+		if r.demand < minRate {
 			delete(m.own, name)
 			continue
 		}
-		all[name] = Rates{Asked: r.asked, Served: r.served}
+		all[name] = Rates{Demand: r.demand, Served: r.served}
 	}
 	return all
 }
 
-// Standing is how a customer stands against its max-min share.
-type Standing int
+// ShareStatus compares a customer's throughput with its max-min share.
+type ShareStatus int
 
-// The standings.
 const (
-	Even       Standing = iota
-	Over                // it has more than its share
-	BelowShare          // it asks for its share and has much less
+	AtShare    ShareStatus = iota
+	AboveShare             // above its share
+	BelowShare             // demands its share and gets much less
 )
 
-// String returns the standing's name.
-func (s Standing) String() string { return [...]string{"even", "over", "below its share"}[s] }
+func (s ShareStatus) String() string { return [...]string{"even", "over", "below its share"}[s] }
 
-// Sum returns the customer's rates at all routers and the level.
-func (m *Meter) Sum(customer string, now time.Time) (Rates, float64) {
+// FleetRates returns the customer's rates summed over all routers, and the max-min level.
+func (m *Meter) FleetRates(customer string, now time.Time) (Rates, float64) {
 	m.update(now)
-	return m.sums[customer], m.level
+	return m.totals[customer], m.level
 }
 
-// Ratio is what the customer was served against the max-min level; 0 if there
-// is no level.
-func (m *Meter) Ratio(customer string, now time.Time) float64 {
+// ServedRatio returns the customer's served rate divided by the max-min level, or 0 if there is no
+// level.
+func (m *Meter) ServedRatio(customer string, now time.Time) float64 {
 	m.update(now)
 	if math.IsInf(m.level, 1) || m.level <= 0 {
 		return 0
 	}
-	return m.sums[customer].Served / m.level
+	return m.totals[customer].Served / m.level
 }
 
-// Standing compares what the customer was served lately with its max-min share
-// of what all customers were served.
-func (m *Meter) Standing(customer string, now time.Time) Standing {
+// ShareStatus compares the customer's recent throughput with its max-min share of the total.
+func (m *Meter) ShareStatus(customer string, now time.Time) ShareStatus {
 	m.update(now)
-	sum := m.sums[customer]
+	sum := m.totals[customer]
 	switch {
-	case sum.Served > m.level*margin:
-		return Over
-	case sum.Served < min(sum.Asked, m.level)*belowPart:
+	case sum.Served > m.level*aboveShareFactor:
+		return AboveShare
+	case sum.Served < min(sum.Demand, m.level)*belowShareFraction:
 		return BelowShare
 	}
-	return Even
+	return AtShare
 }
 
-// FarOver reports whether the customer has so much more than its share that it is to get
-// nothing while others lack of theirs.
-func (m *Meter) FarOver(customer string, now time.Time) bool {
+// FarAboveShare reports whether the customer is so far above its share that it must be refused
+// while others are below theirs.
+func (m *Meter) FarAboveShare(customer string, now time.Time) bool {
 	m.update(now)
-	return farOver(m.sums[customer], m.level)
+	return farAboveShare(m.totals[customer], m.level)
 }
 
-// farOver reports whether the rates are far above the level, if there is one.
-func farOver(r Rates, level float64) bool {
-	return level > 0 && r.Served > level*farOverPart
+// farAboveShare reports whether the served rate is far above the level, if there is one.
+func farAboveShare(r Rates, level float64) bool {
+	return level > 0 && r.Served > level*farAboveShareFactor
 }
 
-// Contended reports whether customers lack so much of their shares, at all
-// routers together, that those above theirs have to give way.
+// Contended reports whether customers are so far below their shares, summed over all routers, that
+// customers above theirs must be throttled.
 func (m *Meter) Contended(now time.Time) bool {
 	m.update(now)
 	return m.contended
 }
 
-// contended reports whether customers lack much of their shares, or of what the best served one
-// gets.
-func contended(sums map[string]Rates, level float64) bool {
-	best := bestOf(sums)
-	lack := 0.0
-	for _, r := range sums {
-		lack += max(short(r, best, halfPart), short(r, level, belowPart))
+// isContended reports whether customers are far below their shares or far below the best-served
+// customer.
+func isContended(totals map[string]Rates, level float64) bool {
+	best := bestServed(totals)
+	missing := 0.0
+	for _, r := range totals {
+		missing += max(shortfall(r, best, belowBestFraction), shortfall(r, level, belowShareFraction))
 	}
-	return lack > served(sums)*contendedAt
+	return missing > totalServed(totals)*contentionFraction
 }
 
-// short is what a customer lacks of the rate, or of what it asks if that is less; 0 if it
-// has the part of it.
-func short(r Rates, rate, part float64) float64 {
-	if due := min(r.Asked, rate); r.Served < due*part {
-		return due - r.Served
+// shortfall returns how far the customer's served rate is below the given rate, or below its
+// demand if that is less. It returns 0 if the customer gets at least the given fraction.
+func shortfall(r Rates, target, fraction float64) float64 {
+	if entitled := min(r.Demand, target); r.Served < entitled*fraction {
+		return entitled - r.Served
 	}
 	return 0
 }
 
-// update adds up all routers' rates and finds the level.
+// update sums the rates of all routers and recomputes the level.
 func (m *Meter) update(now time.Time) {
-	if now.Sub(m.at) < fresh && !m.at.IsZero() {
+	if now.Sub(m.at) < levelTTL && !m.at.IsZero() {
 		return
 	}
 	m.at = now
-	m.sums = m.Own(now)
-	for peer, w := range m.peers {
-		if now.Sub(w.at) > stale {
+	m.totals = m.OwnRates(now)
+	for peer, reported := range m.peers {
+		if now.Sub(reported.at) > reportTTL {
 			delete(m.peers, peer)
 			continue
 		}
-		for name, r := range w.rates {
-			m.sums[name] = m.sums[name].Plus(r)
+		for name, r := range reported.rates {
+			m.totals[name] = m.totals[name].Plus(r)
 		}
 	}
-	m.level = level(m.sums, served(m.sums))
-	m.due = m.level
+	m.level = maxMinLevel(m.totals, totalServed(m.totals))
+	m.capacityLevel = m.level
 	if m.capacity > 0 {
-		m.due = level(m.sums, m.capacity)
-		m.level = max(m.level, m.due)
+		m.capacityLevel = maxMinLevel(m.totals, m.capacity)
+		m.level = max(m.level, m.capacityLevel)
 	}
-	m.contended = contended(m.sums, m.level)
-	m.deficit.update(m.sums, now)
-	m.noteDeficit(now)
+	m.contended = isContended(m.totals, m.level)
+	m.deficit.update(m.totals, now)
+	m.recordDeficit(now)
 }
 
-// SetCapacity says what the backend servers make together, tokens a second;
-// 0: it is not known.
+// SetCapacity sets the throughput of all backend servers in tokens/s; 0 means unknown.
 func (m *Meter) SetCapacity(tokensPerSec float64) {
 	if tokensPerSec == m.capacity {
 		return
@@ -270,29 +268,29 @@
 	m.at = time.Time{}
 }
 
-// served is what all customers were served.
-func served(sums map[string]Rates) float64 {
-	all := 0.0
-	for _, r := range sums {
-		all += r.Served
+// totalServed returns the served rate of all customers.
+func totalServed(totals map[string]Rates) float64 {
+	total := 0.0
+	for _, r := range totals {
+		total += r.Served
 	}
-	return all
+	return total
 }
 
-// level returns the rate L with sum(min(asked, L)) = all: what each customer can
-// have at most if all of it is given in even shares.
-func level(sums map[string]Rates, all float64) float64 {
-	asked := make([]float64, 0, len(sums))
-	for _, r := range sums {
-		asked = append(asked, r.Asked)
+// maxMinLevel returns the max-min level L with sum(min(demand, L)) = total: the most that each
+// customer can get if the total is shared evenly. It is infinite if the total covers all demand.
+func maxMinLevel(totals map[string]Rates, total float64) float64 {
+	demands := make([]float64, 0, len(totals))
+	for _, r := range totals {
+		demands = append(demands, r.Demand)
 	}
-	slices.Sort(asked)
-	for i, a := range asked {
-		share := all / float64(len(asked)-i)
-		if a >= share {
+	slices.Sort(demands)
+	for i, demand := range demands {
+		share := total / float64(len(demands)-i)
+		if demand >= share {
 			return share
 		}
-		all -= a
+		total -= demand
 	}
 	return math.Inf(1)
 }
--- a/internal/core/pick/cache.go
+++ b/internal/core/pick/cache.go
@@ -34,7 +34,7 @@
 func partKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 // keys appends the keys of the prompt's parts.
-func keys(to []uint32, prompt []routing.Part) []uint32 {
+func keys(to []uint32, prompt []routing.PromptPart) []uint32 {
 	for _, part := range prompt {
 		to = append(to, partKey(part.ID))
 	}
@@ -47,7 +47,7 @@
 
 // kept returns how many tokens of the prompt, from its start, are kept if the
 // server keeps a part for life after its last use, and how many the prompt has.
-func (c cache) kept(prompt []routing.Part, keys []uint32, life time.Duration, now time.Time) (tokens, all int) {
+func (c cache) kept(prompt []routing.PromptPart, keys []uint32, life time.Duration, now time.Time) (tokens, all int) {
 	whole := true
 	for i, part := range prompt {
 		all += part.Tokens
@@ -84,11 +84,11 @@
 
 // holder returns a server other than s that keeps the part, one in the same data
 // centre first; nil if none is known.
-func (p *Picker) holder(key uint32, s *server, homes routing.Homes, life time.Duration, now time.Time) *server {
+func (p *Picker) holder(key uint32, s *server, homes routing.Regions, life time.Duration, now time.Time) *server {
 	var found *server
 	for _, h := range p.holders[key] {
 		if h.s == nil || h.s == s || !h.s.takes || now.Sub(h.at) > life || p.rankOf(h.s, now) != rankGood ||
-			!homes.Allow(h.s.region) || h.s.onPermits(now) {
+			!homes.Allows(h.s.region) || h.s.onPermits(now) {
 			continue
 		}
 		if h.s.DataCentre == s.DataCentre {
@@ -117,12 +117,12 @@
 
 // advertise notes what other routers do not know yet of the shared parts that are
 // sent to the server; it is called before noteSent.
-func (p *Picker) advertise(s *server, prompt []routing.Part, keys []uint32, learnt *speed, now time.Time) {
+func (p *Picker) advertise(s *server, prompt []routing.PromptPart, keys []uint32, learnt *speed, now time.Time) {
 	if len(prompt) < 2 {
 		return
 	}
 	rate, _ := learnt.first.fit()
-	if float64(routing.Tokens(prompt[:len(prompt)-1])) < leastFetch(s.engine, rate) {
+	if float64(routing.PromptSize(prompt[:len(prompt)-1])) < leastFetch(s.engine, rate) {
 		return
 	}
 	for _, key := range keys[:len(prompt)-1] {
--- a/internal/core/pick/cache_test.go
+++ b/internal/core/pick/cache_test.go
@@ -18,7 +18,7 @@
 }
 
 // other returns an engine that is neither of the prompt's homes.
-func other(p *Picker, prompt []routing.Part) *server {
+func other(p *Picker, prompt []routing.PromptPart) *server {
 	at := p.homes(Request{Prompt: prompt}, p.services["llm"], start)
 	for _, s := range p.services["llm"] {
 		if !slices.Contains(at.each(), s) {
@@ -62,7 +62,7 @@
 		told += len(p.TakePending()[routing.Identity{ID: "i-003"}.Key()])
 	}
 	assert.Equal(t, told, 2*advertiseAgain, "both shared parts, at the start and after each quarter of %s", mostLife)
-	small := Request{Service: "llm", Prompt: []routing.Part{{ID: "x", Tokens: 100}, {ID: "y", Tokens: 5000}}}
+	small := Request{Service: "llm", Prompt: []routing.PromptPart{{ID: "x", Tokens: 100}, {ID: "y", Tokens: 5000}}}
 	send(p, "i-004", small, over)
 	assert.Equal(t, len(p.TakePending()), 0, "what is not worth a fetch is not worth a report")
 }
@@ -82,7 +82,7 @@
 func TestTheLifeOfAPartFollowsTheFilling(t *testing.T) {
 	p := picker(9)
 	for ms := 0; ms < 20_000; ms += 100 {
-		req := Request{Service: "llm", Prompt: []routing.Part{{ID: "shared", Tokens: 500}, {ID: "o", Tokens: 8000}}, Out: 200}
+		req := Request{Service: "llm", Prompt: []routing.PromptPart{{ID: "shared", Tokens: 500}, {ID: "o", Tokens: 8000}}, Out: 200}
 		j := p.Begin(req, Choice{Server: p.servers["i-001"].Server, Missing: 8500}, at(ms))
 		p.PeerLoad("other", map[routing.ServerKey]Load{routing.Identity{ID: "i-001"}.Key(): {Running: 1}}, at(ms))
 		p.Tick(at(ms))
--- a/internal/core/pick/choose.go
+++ b/internal/core/pick/choose.go
@@ -119,7 +119,7 @@
 	best.rank = math.MaxInt
 	candidates := 0
 	for _, s := range list {
-		if slices.Contains(req.Tried, s.ID) || !req.Homes.Allow(s.region) || p.bearsNone(s, now) || s.inBackoff(now) {
+		if slices.Contains(req.Tried, s.ID) || !req.Homes.Allows(s.region) || p.bearsNone(s, now) || s.inBackoff(now) {
 			continue
 		}
 		r := p.rankOf(s, now)
--- a/internal/core/pick/cold.go
+++ b/internal/core/pick/cold.go
@@ -118,7 +118,7 @@
 		case s.Service != service:
 		case s.Version != to:
 			old += s.own.Running + s.peers.Running
-		case s.Server.Takes() && !s.unlisted && !p.evacuated[s.DataCentre]:
+		case s.Server.AcceptsRequests() && !s.unlisted && !p.evacuated[s.DataCentre]:
 			servers++
 		}
 	}
@@ -220,11 +220,11 @@
 	var soonest time.Time
 	lack = LackServers
 	for _, s := range p.servers {
-		if s.Service != req.Service || !s.Server.Takes() || p.isLeaving(s.Identity()) {
+		if s.Service != req.Service || !s.Server.AcceptsRequests() || p.isLeaving(s.Identity()) {
 			continue
 		}
 		listed++
-		if !req.Homes.Allow(s.region) {
+		if !req.Homes.Allows(s.region) {
 			continue
 		}
 		home++
--- a/internal/core/pick/cold_test.go
+++ b/internal/core/pick/cold_test.go
@@ -259,15 +259,15 @@
 	for i := range 50 {
 		req := Request{Service: "llm", Prompt: prompt(1, i)}
 		p.Begin(req, choose(t, p, req, i), at(i))
-		req.Homes = routing.Homes{"east"}
+		req.Homes = routing.Regions{"east"}
 		c := choose(t, p, req, i)
 		assert.Equal(t, c.Server.DataCentre, "dc0")
 		for _, s := range p.servers {
 			assert.Assert(t, s.Addr != c.FetchAt || s.region == "east")
 		}
 	}
-	lack, _ := p.Lacks(Request{Service: "llm", Homes: routing.Homes{}}, at(0))
+	lack, _ := p.Lacks(Request{Service: "llm", Homes: routing.Regions{}}, at(0))
 	assert.Equal(t, lack, LackHome)
-	_, ok := p.Choose(Request{Service: "llm", Homes: routing.Homes{}}, at(0))
+	_, ok := p.Choose(Request{Service: "llm", Homes: routing.Regions{}}, at(0))
 	assert.Assert(t, !ok)
 }
--- a/internal/core/pick/expect.go
+++ b/internal/core/pick/expect.go
@@ -44,7 +44,7 @@
 		ms += float64(over) * slotWaitMs
 		ahead = -1
 	}
-	size := int64(routing.Tokens(req.Prompt) + req.Out)
+	size := int64(routing.PromptSize(req.Prompt) + req.Out)
 	if float64(s.own.Memory+s.peers.Memory+size) > memoryFull*float64(s.engine.CacheTokens) {
 		ms += memoryWaitMs
 		ahead = -1
@@ -255,7 +255,7 @@
 
 // mayKeep reports whether the server may be a home of the request's prompt.
 func (p *Picker) mayKeep(s *server, req Request, now time.Time) bool {
-	return p.rankOf(s, now) == rankGood && req.Homes.Allow(s.region) && !s.onPermits(now) && !s.inBackoff(now)
+	return p.rankOf(s, now) == rankGood && req.Homes.Allows(s.region) && !s.onPermits(now) && !s.inBackoff(now)
 }
 
 // mix hashes two hashes into one.
--- a/internal/core/pick/index.go
+++ b/internal/core/pick/index.go
@@ -183,13 +183,13 @@
 		s.EntryVersion = before.EntryVersion // from a router of an earlier release
 	}
 	p.clearIfReadyAgain(s, before)
-	if s.unlisted || !before.Takes() || before.Identity() != entry.Identity() {
+	if s.unlisted || !before.AcceptsRequests() || before.Identity() != entry.Identity() {
 		s.readySince = now
 	}
 	s.unlisted = false
 	group := p.groups.Group(entry.Service, entry.Version)
 	s.list = listName(entry.Service, group == rollout.New)
-	s.takes = entry.Takes() && !p.evacuated[entry.DataCentre] && !p.isLeaving(entry.Identity()) && group != rollout.None
+	s.takes = entry.AcceptsRequests() && !p.evacuated[entry.DataCentre] && !p.isLeaving(entry.Identity()) && group != rollout.None
 	s.region = p.regions[entry.DataCentre]
 	p.describe(s)
 	p.readWarmup(s, before, now)
--- a/internal/core/pick/job.go
+++ b/internal/core/pick/job.go
@@ -70,7 +70,7 @@
 	}
 	if s.engine != nil {
 		j.missing = int64(c.Missing)
-		j.memory = int64(routing.Tokens(req.Prompt) + req.Out)
+		j.memory = int64(routing.PromptSize(req.Prompt) + req.Out)
 		p.keys = keys(p.keys[:0], req.Prompt)
 		learnt := p.rate(req.Service)
 		p.advertise(s, req.Prompt, p.keys, learnt, now)
--- a/internal/core/pick/near_test.go
+++ b/internal/core/pick/near_test.go
@@ -86,7 +86,7 @@
 		}
 		p.PeerLoad("others", loads, at(0))
 		for i := range 200 {
-			parts := []routing.Part{{ID: fmt.Sprint("s", i%20), Tokens: 400}, {ID: fmt.Sprint("o", i), Tokens: tokens}}
+			parts := []routing.PromptPart{{ID: fmt.Sprint("s", i%20), Tokens: 400}, {ID: fmt.Sprint("o", i), Tokens: tokens}}
 			req := Request{Service: "llm", Prompt: parts, Out: 50, Bytes: 4000, Target: due}
 			c := choose(t, p, req, 10)
 			if c.Wait+c.Own <= target {
--- a/internal/core/pick/notice.go
+++ b/internal/core/pick/notice.go
@@ -75,7 +75,7 @@
 // which means that it cancelled its shutdown. An entry that reappears as ready does not, since the
 // store may have lost the report that the server is draining.
 func (p *Picker) clearIfReadyAgain(s *server, before routing.Server) {
-	if before.Identity() == s.Identity() && !s.unlisted && !before.Takes() && s.Server.Takes() {
+	if before.Identity() == s.Identity() && !s.unlisted && !before.AcceptsRequests() && s.Server.AcceptsRequests() {
 		p.clearLeaving(s.Server, "entry changed from draining to ready")
 	}
 }
@@ -93,7 +93,7 @@
 		if !p.isLeaving(id) || !p.Known(id) || now.Sub(n.leavingAt) < leavingStaleAfter {
 			continue
 		}
-		if s := p.servers[id.ID]; !s.unlisted && s.Server.Takes() && now.Sub(s.readySince) >= leavingStaleAfter {
+		if s := p.servers[id.ID]; !s.unlisted && s.Server.AcceptsRequests() && now.Sub(s.readySince) >= leavingStaleAfter {
 			p.clearLeaving(s.Server, "entry stayed ready")
 			changed = true
 		}
--- a/internal/core/pick/pick.go
+++ b/internal/core/pick/pick.go
@@ -81,12 +81,12 @@
 // Request is what is to be placed.
 type Request struct {
 	Service string
-	Prompt  []routing.Part
+	Prompt  []routing.PromptPart
 	Out     int // tokens that are made at most
 	// Tried lists servers that this request was sent to already.
 	Tried []string
 	// Homes are the regions in which it may be served; nil: all.
-	Homes routing.Homes
+	Homes routing.Regions
 	Bytes int // of its body
 	// Target is when its first token is to come; 0: not told.
 	Target time.Duration
--- a/internal/core/pick/pick_test.go
+++ b/internal/core/pick/pick_test.go
@@ -38,8 +38,8 @@
 }
 
 // prompt is one of a subject with a part of its own.
-func prompt(subject, own int) []routing.Part {
-	return []routing.Part{{ID: "all", Tokens: 300}, {ID: fmt.Sprintf("s%d", subject), Tokens: 6000}, {ID: fmt.Sprintf("o%d", own), Tokens: 2900}}
+func prompt(subject, own int) []routing.PromptPart {
+	return []routing.PromptPart{{ID: "all", Tokens: 300}, {ID: fmt.Sprintf("s%d", subject), Tokens: 6000}, {ID: fmt.Sprintf("o%d", own), Tokens: 2900}}
 }
 
 func choose(t *testing.T, p *Picker, req Request, ms int) Choice {
--- a/internal/core/poison/bench_test.go
+++ b/internal/core/poison/bench_test.go
@@ -14,7 +14,7 @@
 		t.Crashed(guilty, end(i, 500*i))
 	}
 	for c := range most {
-		t.Crashed(routing.Content(10+c), end(1, 2000))
+		t.Crashed(routing.ContentHash(10+c), end(1, 2000))
 	}
 	return t
 }
@@ -25,14 +25,14 @@
 	body := make([]byte, 10<<10)
 	now := at(2000)
 	for b.Loop() {
-		t.Blocked(routing.ContentOf("ana", "POST", "host", "/path", body), now)
+		t.Blocked(routing.HashContent("ana", "POST", "host", "/path", body), now)
 	}
 }
 
 // What each end costs when the table has no room.
 func BenchmarkEnded(b *testing.B) {
 	t := full()
-	c := routing.Content(1 << 32)
+	c := routing.ContentHash(1 << 32)
 	for b.Loop() {
 		c++
 		t.Crashed(c, end(1, 2000))
--- a/internal/core/poison/model_test.go
+++ b/internal/core/poison/model_test.go
@@ -23,8 +23,8 @@
 	// nextKey names the next start of a server. silent says that the platform's list tells of none.
 	nextKey routing.ServerKey
 	silent  bool
-	crashes map[routing.Content]int // servers that each content crashed
-	refused map[routing.Content]time.Duration
+	crashes map[routing.ContentHash]int // servers that each content crashed
+	refused map[routing.ContentHash]time.Duration
 	reports []modelReport
 	delay   time.Duration
 }
@@ -41,7 +41,7 @@
 }
 
 type modelRun struct {
-	c         routing.Content
+	c         routing.ContentHash
 	router    *modelRouter
 	server    int
 	key       routing.ServerKey
@@ -85,7 +85,7 @@
 func newModel(seed uint64, routers, servers int, delay time.Duration, silent bool) *model {
 	m := &model{
 		rng: rand.New(rand.NewPCG(seed, *modelStream)), now: start, silent: silent, delay: delay,
-		crashes: map[routing.Content]int{}, refused: map[routing.Content]time.Duration{},
+		crashes: map[routing.ContentHash]int{}, refused: map[routing.ContentHash]time.Duration{},
 	}
 	for i := range routers {
 		m.routers = append(m.routers, &modelRouter{id: i, table: New(), answered: map[int]time.Time{}})
@@ -98,13 +98,13 @@
 }
 
 // rank returns a router's place for a content.
-func (r *modelRouter) rank(routers int) func(routing.Content) int {
-	return func(c routing.Content) int { return (r.id + int(c)*7) % routers }
+func (r *modelRouter) rank(routers int) func(routing.ContentHash) int {
+	return func(c routing.ContentHash) int { return (r.id + int(c)*7) % routers }
 }
 
 // send sends a request by a random router: to the home of all prompts in half of the cases, so that
 // the same contents meet again and again.
-func (m *model) send(c routing.Content) {
+func (m *model) send(c routing.ContentHash) {
 	r := m.routers[m.rng.IntN(len(m.routers))]
 	a := r.table.Admit(c, r.rank(len(m.routers)), m.now)
 	if a.Wait > 0 {
@@ -202,12 +202,12 @@
 // play sends copies of that many guilty contents and of the innocent ones.
 func (m *model) play(lasts time.Duration, guilties int) {
 	for m.now.Before(start.Add(lasts)) {
-		for c := range routing.Content(guilties) {
+		for c := range routing.ContentHash(guilties) {
 			if m.rng.Float64() < guiltyRate*modelStep.Seconds() {
 				m.send(c + 1)
 			}
 		}
-		for c := range routing.Content(innocents) {
+		for c := range routing.ContentHash(innocents) {
 			if m.rng.Float64() < innocentRate*modelStep.Seconds() {
 				m.send(firstInnocent + c)
 			}
@@ -242,10 +242,10 @@
 		for seed := range uint64(runs) {
 			m := newModel(seed, c.routers, c.servers, c.delay, c.silent)
 			m.play(20*time.Second, c.guilties)
-			for g := range routing.Content(c.guilties) {
+			for g := range routing.ContentHash(c.guilties) {
 				most = max(most, m.crashes[g+1])
 			}
-			for i := range routing.Content(innocents) {
+			for i := range routing.ContentHash(innocents) {
 				if w := m.refused[firstInnocent+i]; w > time.Minute {
 					blocked++
 					t.Logf("seed %d: content %d blocked", seed, firstInnocent+i)
--- a/internal/core/poison/poison.go
+++ b/internal/core/poison/poison.go
@@ -107,25 +107,25 @@
 
 // Table is what a router knows. It is not safe for concurrent use.
 type Table struct {
-	records map[routing.Content]*record
-	order   []routing.Content // of the records, as they came
+	records map[routing.ContentHash]*record
+	order   []routing.ContentHash // of the records, as they came
 	// suspects are the contents with two crashes or more, stale says that their verdicts are.
-	suspects map[routing.Content]*record
+	suspects map[routing.ContentHash]*record
 	stale    bool
 	// crashedAt is when each start of a server is first known to have crashed.
 	crashedAt map[routing.ServerKey]time.Time
-	dirty     map[routing.Content]bool // what the others are to be told
-	lifted    map[routing.Content]bool // what the store is to forget
+	dirty     map[routing.ContentHash]bool // what the others are to be told
+	lifted    map[routing.ContentHash]bool // what the store is to forget
 }
 
 // New returns an empty table.
 func New() *Table {
 	return &Table{
-		records:   map[routing.Content]*record{},
-		suspects:  map[routing.Content]*record{},
+		records:   map[routing.ContentHash]*record{},
+		suspects:  map[routing.ContentHash]*record{},
 		crashedAt: map[routing.ServerKey]time.Time{},
-		dirty:     map[routing.Content]bool{},
-		lifted:    map[routing.Content]bool{},
+		dirty:     map[routing.ContentHash]bool{},
+		lifted:    map[routing.ContentHash]bool{},
 	}
 }
 
@@ -134,7 +134,7 @@
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
 // Crashed notes that a server crashed under one of this router's own requests.
-func (t *Table) Crashed(c routing.Content, e Crash) Change {
+func (t *Table) Crashed(c routing.ContentHash, e Crash) Change {
 	e.Server = t.startOf(e)
 	r := t.get(c)
 	if !t.add(r, e) {
@@ -151,7 +151,7 @@
 // Succeeded notes a complete response to the content, and reports whether it counted as a suspect
 // or on the way to it. It returns the contents that are newly blocked, since this one
 // explains their crashes no longer.
-func (t *Table) Succeeded(c routing.Content, now time.Time) (cleared bool, blocked []routing.Content) {
+func (t *Table) Succeeded(c routing.ContentHash, now time.Time) (cleared bool, blocked []routing.ContentHash) {
 	r := t.records[c]
 	if r == nil || len(r.counted) == 0 {
 		return false, nil
@@ -163,7 +163,7 @@
 }
 
 // Blocked returns for how long the content is sent to no server yet; 0: it may be.
-func (t *Table) Blocked(c routing.Content, now time.Time) time.Duration {
+func (t *Table) Blocked(c routing.ContentHash, now time.Time) time.Duration {
 	r := t.records[c]
 	if r == nil {
 		return 0
@@ -174,7 +174,7 @@
 
 // Admit says whether a request with the content may be sent now. rank is the place of this router
 // among those that may try a content in doubt: the later ones do so later.
-func (t *Table) Admit(c routing.Content, rank func(routing.Content) int, now time.Time) Admission {
+func (t *Table) Admit(c routing.ContentHash, rank func(routing.ContentHash) int, now time.Time) Admission {
 	r := t.records[c]
 	if r == nil || len(r.counted) < CrashesToBlock {
 		return Admission{Apart: t.suspects[c] != nil}
@@ -195,7 +195,7 @@
 }
 
 // EndTrial notes that the trial of the content at this router is over.
-func (t *Table) EndTrial(c routing.Content) {
+func (t *Table) EndTrial(c routing.ContentHash) {
 	if r := t.records[c]; r != nil {
 		r.trial = false
 	}
@@ -215,7 +215,7 @@
 
 // Tick forgets what is old, and returns the contents that are newly blocked, since what explained
 // their crashes was forgotten. It draws from rng when this router is to write them into the store.
-func (t *Table) Tick(rng *rand.Rand, now time.Time) []routing.Content {
+func (t *Table) Tick(rng *rand.Rand, now time.Time) []routing.ContentHash {
 	blocked := t.settle(now)
 	t.postponeWrites(blocked, rng, now)
 	for c, r := range t.records {
@@ -228,12 +228,12 @@
 			delete(t.crashedAt, server)
 		}
 	}
-	t.order = slices.DeleteFunc(t.order, func(c routing.Content) bool { return t.records[c] == nil })
+	t.order = slices.DeleteFunc(t.order, func(c routing.ContentHash) bool { return t.records[c] == nil })
 	return blocked
 }
 
 // changed notes that the crashes of a content have changed, or a complete response came.
-func (t *Table) changed(c routing.Content, r *record) {
+func (t *Table) changed(c routing.ContentHash, r *record) {
 	r.counted = r.count()
 	_, was := t.suspects[c]
 	is := len(r.counted) >= suspectFrom
@@ -253,7 +253,7 @@
 
 // settle looks which contents are blocked, and returns those that newly are. This router writes them
 // into the store at once, unless postponeWrites follows.
-func (t *Table) settle(now time.Time) (blocked []routing.Content) {
+func (t *Table) settle(now time.Time) (blocked []routing.ContentHash) {
 	t.judge()
 	for c, r := range t.suspects {
 		switch held := r.blocked(now); {
@@ -270,14 +270,14 @@
 }
 
 // lift notes that a content is not blocked any more. The store is to forget it.
-func (t *Table) lift(c routing.Content, r *record) {
+func (t *Table) lift(c routing.ContentHash, r *record) {
 	r.held = false
 	r.stored = false
 	t.lifted[c] = true
 }
 
 // forget drops a content.
-func (t *Table) forget(c routing.Content) {
+func (t *Table) forget(c routing.ContentHash) {
 	delete(t.records, c)
 	delete(t.suspects, c)
 	delete(t.dirty, c)
@@ -285,7 +285,7 @@
 }
 
 // get returns the content's record.
-func (t *Table) get(c routing.Content) *record {
+func (t *Table) get(c routing.ContentHash) *record {
 	r := t.records[c]
 	if r == nil {
 		t.makeRoom()
--- a/internal/core/poison/poison_test.go
+++ b/internal/core/poison/poison_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	guilty = routing.Content(1)
-	beside = routing.Content(2)
+	guilty = routing.ContentHash(1)
+	beside = routing.ContentHash(2)
 )
 
 var start = time.Unix(1000, 0)
@@ -120,11 +120,11 @@
 	other.Merge([]Record{{Content: beside, Crashes: []CrashAge{{Server: 1}}, Succeeded: time.Millisecond}}, rng(), at(1100))
 	assert.Equal(t, other.Blocked(beside, at(1100)), time.Duration(0))
 	_, remove := other.ToStore(at(1100))
-	assert.DeepEqual(t, remove, []routing.Content{beside})
+	assert.DeepEqual(t, remove, []routing.ContentHash{beside})
 }
 
 // rankOf returns the place of a router for any content.
-func rankOf(place int) func(routing.Content) int { return func(routing.Content) int { return place } }
+func rankOf(place int) func(routing.ContentHash) int { return func(routing.ContentHash) int { return place } }
 
 // Regression: of two contents that ended the same servers together both were blocked for ten
 // minutes. They are held back for a second, and then tried one request at a time: the answer
@@ -137,7 +137,7 @@
 		assert.Assert(t, !change.Blocked)
 		assert.Equal(t, change.Doubted, i == CrashesToBlock-1)
 	}
-	for _, c := range []routing.Content{beside, guilty} {
+	for _, c := range []routing.ContentHash{beside, guilty} {
 		assert.Equal(t, table.Blocked(c, at(1000)), firstPause)
 		assert.Equal(t, table.Admit(c, rankOf(0), at(1500)), Admission{Wait: 500 * time.Millisecond, InDoubt: true})
 		assert.Equal(t, table.Admit(c, rankOf(0), at(2000)), Admission{Trial: true, Apart: true})
@@ -146,7 +146,7 @@
 	_, blocked := table.Succeeded(beside, at(2100))
 	table.EndTrial(beside)
 	assert.Equal(t, table.Admit(beside, rankOf(0), at(2100)), Admission{})
-	assert.DeepEqual(t, blocked, []routing.Content{guilty})
+	assert.DeepEqual(t, blocked, []routing.ContentHash{guilty})
 	assert.Equal(t, table.Crashed(guilty, end(9, 2100)), Change{Crashes: 4})
 	assert.Equal(t, table.Blocked(guilty, at(2100)), BlockFor)
 }
@@ -191,7 +191,7 @@
 		table.Crashed(guilty, end(i, 500*i))
 	}
 	for c := range 3 * most {
-		table.Crashed(routing.Content(10+c), end(1, 2000))
+		table.Crashed(routing.ContentHash(10+c), end(1, 2000))
 	}
 	assert.Assert(t, len(table.records) <= most)
 	assert.Assert(t, table.Blocked(guilty, at(2000)) > 0)
@@ -209,7 +209,7 @@
 	write, _ := first.ToStore(at(1000))
 	assert.Equal(t, len(write), 1)
 	blocked := other.Merge(first.TakeUpdates(at(1000)), rng(), at(1001))
-	assert.DeepEqual(t, blocked, []routing.Content{guilty})
+	assert.DeepEqual(t, blocked, []routing.ContentHash{guilty})
 	write, _ = other.ToStore(at(1100))
 	assert.Equal(t, len(write), 0)
 	write, _ = other.ToStore(at(1001).Add(2 * storeAfter))
@@ -220,7 +220,7 @@
 	assert.Equal(t, len(write), 0)
 	first.Tick(rng(), at(1000).Add(BlockFor))
 	_, remove := first.ToStore(at(1000).Add(BlockFor))
-	assert.DeepEqual(t, remove, []routing.Content{guilty})
+	assert.DeepEqual(t, remove, []routing.ContentHash{guilty})
 	first.Stored(nil, remove)
 	_, remove = first.ToStore(at(1000).Add(BlockFor))
 	assert.Equal(t, len(remove), 0)
@@ -234,7 +234,7 @@
 		first.Crashed(guilty, end(i, 500*i))
 	}
 	last.Crashed(guilty, end(9, 1000))
-	assert.DeepEqual(t, last.Merge(first.TakeUpdates(at(1010)), rng(), at(1010)), []routing.Content{guilty})
+	assert.DeepEqual(t, last.Merge(first.TakeUpdates(at(1010)), rng(), at(1010)), []routing.ContentHash{guilty})
 	write, _ := last.ToStore(at(1010))
 	assert.Equal(t, len(write), 1)
 }
@@ -253,7 +253,7 @@
 	forgotten := at(1001).Add(forgetAfter)
 	for _, table := range []*Table{saw, heard} {
 		assert.Equal(t, len(table.Tick(rng(), forgotten)), 0)
-		assert.DeepEqual(t, table.Tick(rng(), forgotten), []routing.Content{guilty})
+		assert.DeepEqual(t, table.Tick(rng(), forgotten), []routing.ContentHash{guilty})
 	}
 	write, _ := saw.ToStore(forgotten)
 	assert.Equal(t, len(write), 1)
@@ -337,9 +337,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		together := rapid.Bool().Draw(t, "together")
 		var told []Record
-		moments := map[routing.Content]map[int]bool{}
+		moments := map[routing.ContentHash]map[int]bool{}
 		for range rapid.IntRange(0, 12).Draw(t, "ends") {
-			c := routing.Content(rapid.IntRange(1, 3).Draw(t, "content"))
+			c := routing.ContentHash(rapid.IntRange(1, 3).Draw(t, "content"))
 			moment := rapid.IntRange(0, 4).Draw(t, "moment")
 			if moments[c] == nil {
 				moments[c] = map[int]bool{}
--- a/internal/core/poison/property_test.go
+++ b/internal/core/poison/property_test.go
@@ -17,9 +17,9 @@
 
 func admissionsKeepTheirPromises(t *rapid.T) {
 	tables := [2]*Table{New(), New()}
-	trials := [2]map[routing.Content]bool{{}, {}}
+	trials := [2]map[routing.ContentHash]bool{{}, {}}
 	now := start
-	content := rapid.Custom(func(t *rapid.T) routing.Content { return routing.Content(rapid.IntRange(1, 4).Draw(t, "content")) })
+	content := rapid.Custom(func(t *rapid.T) routing.ContentHash { return routing.ContentHash(rapid.IntRange(1, 4).Draw(t, "content")) })
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
 		now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond)
 		at := rapid.IntRange(0, 1).Draw(t, "router")
@@ -61,7 +61,7 @@
 }
 
 // checkFree checks that what was answered is sent as before.
-func checkFree(t *rapid.T, table *Table, c routing.Content, now time.Time) {
+func checkFree(t *rapid.T, table *Table, c routing.ContentHash, now time.Time) {
 	if a := table.Admit(c, rankOf(0), now); a.Wait > 0 || a.Trial {
 		t.Fatalf("content %v was answered: %+v", c, a)
 	}
@@ -69,7 +69,7 @@
 
 // checkAdmission checks that a content in doubt is tried by one request at a time, and that all
 // others are told when to come back.
-func checkAdmission(t *rapid.T, table *Table, c routing.Content, trials map[routing.Content]bool, now time.Time) {
+func checkAdmission(t *rapid.T, table *Table, c routing.ContentHash, trials map[routing.ContentHash]bool, now time.Time) {
 	a := table.Admit(c, rankOf(0), now)
 	r := table.records[c]
 	judged := r != nil && len(r.counted) >= CrashesToBlock
--- a/internal/core/poison/report.go
+++ b/internal/core/poison/report.go
@@ -24,7 +24,7 @@
 
 // Record is what routers tell each other of a content.
 type Record struct {
-	Content   routing.Content
+	Content   routing.ContentHash
 	Crashes   []CrashAge
 	Succeeded time.Duration // how long ago there was a complete response; 0: there was none
 	Stored    bool          // the store has it
@@ -38,7 +38,7 @@
 }
 
 // record returns what is told of a content.
-func (r *record) record(c routing.Content, now time.Time) Record {
+func (r *record) record(c routing.ContentHash, now time.Time) Record {
 	out := Record{Content: c, Stored: r.stored}
 	if !r.succeededAt.IsZero() {
 		out.Succeeded = max(now.Sub(r.succeededAt), 1)
@@ -51,7 +51,7 @@
 
 // Merge takes what another router reports, or the store, and returns the contents that are
 // newly blocked. It draws from rng when this router is to write them into the store.
-func (t *Table) Merge(records []Record, rng *rand.Rand, now time.Time) (blocked []routing.Content) {
+func (t *Table) Merge(records []Record, rng *rand.Rand, now time.Time) (blocked []routing.ContentHash) {
 	for _, told := range records {
 		if len(told.Crashes) == 0 || told.Crashes[len(told.Crashes)-1].Age > forgetAfter {
 			continue
@@ -68,7 +68,7 @@
 // postponeWrites has this router write newly blocked contents into the store later than those that
 // saw one of their crashes: any of these writes at once, since the router of the last crash may
 // have known of too few others.
-func (t *Table) postponeWrites(blocked []routing.Content, rng *rand.Rand, now time.Time) {
+func (t *Table) postponeWrites(blocked []routing.ContentHash, rng *rand.Rand, now time.Time) {
 	for _, c := range blocked {
 		if r := t.records[c]; !r.own {
 			r.due = storeDue(rng, now)
@@ -121,7 +121,7 @@
 
 // ToStore returns what this router is to write into the store, and what it is to remove
 // there if it does so for the rest of the fleet.
-func (t *Table) ToStore(now time.Time) (write []Record, remove []routing.Content) {
+func (t *Table) ToStore(now time.Time) (write []Record, remove []routing.ContentHash) {
 	for c, r := range t.records {
 		if r.held && !r.stored && !now.Before(r.due) {
 			write = append(write, r.record(c, now))
@@ -155,7 +155,7 @@
 }
 
 // Stored notes that the store has the ones and has forgotten the others.
-func (t *Table) Stored(written []Record, removed []routing.Content) {
+func (t *Table) Stored(written []Record, removed []routing.ContentHash) {
 	for _, told := range written {
 		if r := t.records[told.Content]; r != nil {
 			r.stored = true
--- a/internal/core/poison/verdict.go
+++ b/internal/core/poison/verdict.go
@@ -69,7 +69,7 @@
 
 // judged returns the suspects with enough crashes to be blocked, that with the latest crash first.
 func (t *Table) judged() []*record {
-	var contents []routing.Content
+	var contents []routing.ContentHash
 	for c, r := range t.suspects {
 		r.verdict = acquitted
 		r.confirmed = t.confirmedCrashes(r)
@@ -77,7 +77,7 @@
 			contents = append(contents, c)
 		}
 	}
-	slices.SortFunc(contents, func(a, b routing.Content) int {
+	slices.SortFunc(contents, func(a, b routing.ContentHash) int {
 		return cmp.Or(t.suspects[b].last().Compare(t.suspects[a].last()), cmp.Compare(a, b))
 	})
 	list := make([]*record, len(contents))
--- a/internal/core/roster/changes.go
+++ b/internal/core/roster/changes.go
@@ -9,37 +9,38 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// changesMost bounds the changes that a list remembers for other routers: who is further behind
-// takes the whole list, which is shorter than so many changes of it.
-const changesMost = 2048
+// maxChanges limits the logged changes. A peer that is further behind takes the whole list, which
+// is shorter than that many changes.
+const maxChanges = 2048
 
-// logged is a server whose entry changed, as of the list's stamp.
-type logged struct {
-	id string
-	as Stamp
+// changeEntry records that a server's entry changed as of a stamp.
+type changeEntry struct {
+	id    string
+	stamp Stamp
 }
 
-// gapsMost bounds the gaps that are remembered.
-const gapsMost = 8
+// maxGaps limits the recorded gaps.
+const maxGaps = 8
 
-// Gap is a span within which a list has no stamps: the whole list was taken anew, and a server
-// that changed and changed back in between is noted nowhere.
+// Gap is a range of stamps for which the change log is incomplete: the whole list was read again,
+// so a server that changed and changed back in between is not logged.
 type Gap struct{ After, Upto Stamp }
 
-// within reports whether the stamp lies inside of it.
-func (g Gap) within(s Stamp) bool { return s.After(g.After) && g.Upto.After(s) }
+// contains reports whether the stamp is strictly inside the gap.
+func (g Gap) contains(s Stamp) bool { return s.After(g.After) && g.Upto.After(s) }
 
-// changeLog holds the latest changes of a list: all of those after base, for who has the list
-// as of a stamp that is in no gap.
+// changeLog holds all changes of a list after base. It is complete for peers whose stamp is not
+// inside a gap.
 type changeLog struct {
-	base Stamp
-	list []logged
-	gaps []Gap
+	base    Stamp
+	entries []changeEntry
+	gaps    []Gap
 }
 
-// skip notes a gap. What differs behind it is to be added as of its end.
-func (l *changeLog) skip(g Gap) {
-	if g.After.Era != g.Upto.Era || len(l.gaps) == gapsMost {
+// addGap records a gap. Differences found by reading the list again must be added with the gap's
+// end as their stamp.
+func (l *changeLog) addGap(g Gap) {
+	if g.After.Era != g.Upto.Era || len(l.gaps) == maxGaps {
 		l.reset(g.Upto)
 		return
 	}
@@ -48,36 +49,37 @@
 	}
 }
 
-// add notes a change.
-func (l *changeLog) add(id string, as Stamp) {
-	l.list = append(l.list, logged{id, as})
-	if len(l.list) < 2*changesMost {
+// add appends a change and trims the log.
+func (l *changeLog) add(id string, stamp Stamp) {
+	l.entries = append(l.entries, changeEntry{id, stamp})
+	if len(l.entries) < 2*maxChanges {
 		return
 	}
-	// Changes of one stamp are kept or dropped together.
-	cut := len(l.list) - changesMost
-	for cut < len(l.list) && l.list[cut].as == l.list[cut-1].as {
+	// Changes with the same stamp are kept or dropped together.
+	cut := len(l.entries) - maxChanges
+	for cut < len(l.entries) && l.entries[cut].stamp == l.entries[cut-1].stamp {
 		cut++
 	}
-	l.base = l.list[cut-1].as
-	l.list = slices.Clone(l.list[cut:])
+	l.base = l.entries[cut-1].stamp
+	l.entries = slices.Clone(l.entries[cut:])
 	l.gaps = slices.DeleteFunc(l.gaps, func(g Gap) bool { return !g.Upto.After(l.base) })
 }
 
-// reset forgets all changes up to the stamp.
-func (l *changeLog) reset(as Stamp) { *l = changeLog{base: as} }
+// reset drops all changes and starts the log at the stamp.
+func (l *changeLog) reset(stamp Stamp) { *l = changeLog{base: stamp} }
 
-// since returns the servers that changed after the stamp; ok is false if it goes back too far.
+// since returns the servers that changed after the stamp. ok is false if the log does not cover
+// that range.
 func (l *changeLog) since(from Stamp) (ids []string, ok bool) {
 	if l.base.After(from) || l.base.Era != from.Era {
 		return nil, false
 	}
-	if slices.ContainsFunc(l.gaps, func(g Gap) bool { return g.within(from) }) {
+	if slices.ContainsFunc(l.gaps, func(g Gap) bool { return g.contains(from) }) {
 		return nil, false
 	}
 	seen := map[string]bool{}
-	for i := len(l.list) - 1; i >= 0 && l.list[i].as.After(from); i-- {
-		if id := l.list[i].id; !seen[id] {
+	for i := len(l.entries) - 1; i >= 0 && l.entries[i].stamp.After(from); i-- {
+		if id := l.entries[i].id; !seen[id] {
 			seen[id] = true
 			ids = append(ids, id)
 		}
@@ -85,181 +87,182 @@
 	return ids, true
 }
 
-// Delta is what has changed of a list, as one router tells it to another whose list is as of
-// From or newer. Of the servers that changed it names those that are listed and those that have
-// gone; what the teller holds back or doubts it names whole.
+// Delta holds the changes of a list that one router sends to another whose list is at From or
+// newer. Of the changed servers, those still listed are in Servers and the others in Removed. Held
+// and Doubtful are complete, not only changes.
 type Delta struct {
 	From Stamp
-	As   Stamp // of the teller's list
-	Told
-	Gone []string
-	Gaps []Gap // of the teller's list since From
+	To   Stamp // stamp of the sender's list
+	Snapshot
+	Removed []string
+	Gaps    []Gap // of the sender's list since From
 }
 
-// Size returns how many servers the delta names.
-func (d Delta) Size() int { return len(d.Servers) + len(d.Held) + len(d.Doubtful) + len(d.Gone) }
+// Size returns the number of servers that the delta contains.
+func (d Delta) Size() int { return len(d.Servers) + len(d.Held) + len(d.Doubtful) + len(d.Removed) }
 
-// Since returns what has changed of the list since the stamp. ok is false if that is not known,
-// or the store has just come back from a copy: then a whole list is needed.
-func (r *Roster) Since(from Stamp, now time.Time) (_ Delta, ok bool) {
-	ids, ok := r.log.since(from)
-	if !ok || r.back.within(heldFor, now) {
+// DeltaSince returns the changes of the list since the stamp. ok is false if they are not known,
+// or if the store was restored from a copy shortly before: then the whole list is needed.
+func (r *Roster) DeltaSince(from Stamp, now time.Time) (_ Delta, ok bool) {
+	ids, ok := r.changes.since(from)
+	if !ok || r.restore.within(holdTime, now) {
 		return Delta{}, false
 	}
-	d := Delta{From: from, As: r.stamp}
-	for _, g := range r.log.gaps {
+	d := Delta{From: from, To: r.stamp}
+	for _, g := range r.changes.gaps {
 		if g.Upto.After(from) {
 			d.Gaps = append(d.Gaps, g)
 		}
 	}
 	for _, id := range ids {
 		s, listed := r.servers[id]
-		h, held := r.back.held[id]
+		entry, held := r.restore.held[id]
 		switch _, doubted := r.doubtful[id]; {
 		case held:
-			d.Servers = append(d.Servers, h.server)
+			d.Servers = append(d.Servers, entry.server)
 		case !listed:
-			d.Gone = append(d.Gone, id)
+			d.Removed = append(d.Removed, id)
 		case !doubted:
 			d.Servers = append(d.Servers, s)
 		}
 	}
-	d.Held, d.Doubtful = r.unsure(now)
+	d.Held, d.Doubtful = r.provisional(now)
 	slices.SortFunc(d.Servers, func(a, b routing.Server) int { return strings.Compare(a.ID, b.ID) })
-	slices.Sort(d.Gone)
+	slices.Sort(d.Removed)
 	return d, true
 }
 
-// ApplyDelta takes another router's changes and reports whether they follow on this list: it is
-// as old as the delta's start or newer, of the same era, and not as new as its end.
+// ApplyDelta applies a peer's changes and reports whether they apply to this list: it must be at
+// the delta's start or newer, of the same era, and older than the delta's end.
 func (r *Roster) ApplyDelta(d Delta, now time.Time) bool {
-	if r.stamp.Era != d.As.Era || d.From.After(r.stamp) || !d.As.After(r.stamp) || r.back.within(heldFor, now) {
+	if r.stamp.Era != d.To.Era || d.From.After(r.stamp) || !d.To.After(r.stamp) || r.restore.within(holdTime, now) {
 		return false
 	}
-	r.stamp = d.As
+	r.stamp = d.To
 	for _, g := range d.Gaps {
-		r.log.skip(g)
+		r.changes.addGap(g)
 	}
 	for _, s := range d.Servers {
-		r.note(s.ID)
+		r.logChange(s.ID)
 		r.set(s)
 	}
-	for _, id := range d.Gone {
-		r.note(id)
-		r.forget(id, now)
-		delete(r.back.held, id)
+	for _, id := range d.Removed {
+		r.logChange(id)
+		r.remove(id, now)
+		delete(r.restore.held, id)
 	}
 	for id, left := range d.Held {
 		if s, listed := r.servers[id]; listed && left > 0 {
-			r.hold(s, now.Add(min(left, heldFor)))
+			r.hold(s, now.Add(min(left, holdTime)))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.doubtful)) {
-		r.note(id)
-		r.forget(id, now) // those still in doubt are named again
+		r.logChange(id)
+		r.remove(id, now) // those still doubtful are in the delta
 	}
 	for _, doubtful := range d.Doubtful {
-		r.note(doubtful.Server.ID)
-		r.forget(doubtful.Server.ID, now) // its entry is missing
+		r.logChange(doubtful.Server.ID)
+		r.remove(doubtful.Server.ID, now) // the store has no entry for it
 	}
-	r.takeDoubtful(d.Doubtful, now)
+	r.adoptDoubtful(d.Doubtful, now)
 	return true
 }
 
-// Changed returns the servers that may have changed since it was called last, and whether they
-// are so many that the whole list is to be looked at.
-func (r *Roster) Changed() (changed []routing.Server, gone []string, whole bool) {
-	touched, anew := r.touched, r.anew
-	r.touched, r.anew = map[string]bool{}, false
-	if anew || len(touched) > len(r.servers)/changedPart {
+// TakeChanges returns the servers that may have changed since the previous call. whole is true if
+// the caller must go through the whole list instead.
+func (r *Roster) TakeChanges() (changed []routing.Server, removed []string, whole bool) {
+	touched, refilled := r.touched, r.refilled
+	r.touched, r.refilled = map[string]bool{}, false
+	if refilled || len(touched) > len(r.servers)/fullScanDivisor {
 		return nil, nil, true
 	}
 	for _, id := range slices.Sorted(maps.Keys(touched)) {
 		if s, listed := r.servers[id]; listed {
 			changed = append(changed, s)
 		} else {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	return changed, gone, false
+	return changed, removed, false
 }
 
-// changedPart is the part of a list, one in so many, above which it counts as new.
-const changedPart = 4
+// fullScanDivisor: if more than this fraction of the list changed (one in fullScanDivisor),
+// TakeChanges requests a full scan.
+const fullScanDivisor = 4
 
-// touch notes that a server's entry is another one than before.
-func (r *Roster) touch(id string) {
-	if !r.anew {
+// markTouched records for TakeChanges that a server's entry changed.
+func (r *Roster) markTouched(id string) {
+	if !r.refilled {
 		r.touched[id] = true
 	}
 }
 
-// begin prepares an empty list for so many servers.
-func (r *Roster) begin(n int) {
+// startFill prepares an empty list for n servers.
+func (r *Roster) startFill(n int) {
 	r.servers = make(map[string]routing.Server, n)
 	r.filling = true
-	r.anew = true
+	r.refilled = true
 }
 
-// note notes for other routers that an entry has changed as of the list's stamp. One that is the
-// same as before is noted too: in between it may have been another, as other routers know it.
-func (r *Roster) note(id string) {
+// logChange logs for peers that an entry changed as of the list's stamp. Unchanged entries are
+// logged too: a peer may know a different entry from in between.
+func (r *Roster) logChange(id string) {
 	if !r.filling {
-		r.log.add(id, r.stamp)
+		r.changes.add(id, r.stamp)
 	}
 }
 
-// counted is under what servers are counted.
-type counted struct{ service, dataCentre string }
+// countKey is the key by which servers are counted.
+type countKey struct{ service, dataCentre string }
 
-// Len returns how many servers are listed.
+// Len returns the number of listed servers.
 func (r *Roster) Len() int { return len(r.servers) }
 
-// Get returns the entry of a listed server.
+// Get returns a server's entry and whether it is listed.
 func (r *Roster) Get(id string) (routing.Server, bool) {
 	s, listed := r.servers[id]
 	return s, listed
 }
 
-// Each calls f for each listed server, in any order.
+// Each calls f for each listed server, in no particular order.
 func (r *Roster) Each(f func(routing.Server)) {
 	for _, s := range r.servers {
 		f(s)
 	}
 }
 
-// EachCount calls f for each service and data centre in which it has servers.
+// EachCount calls f with the number of servers of each service in each data centre.
 func (r *Roster) EachCount(f func(service, dataCentre string, n int)) {
 	for c, n := range r.counts {
 		f(c.service, c.dataCentre, n)
 	}
 }
 
-// count adds to the number of a server's service and data centre.
-func (r *Roster) count(s routing.Server, n int) {
-	c := counted{s.Service, s.DataCentre}
+// addCount adjusts the count for a server's service and data centre.
+func (r *Roster) addCount(s routing.Server, n int) {
+	c := countKey{s.Service, s.DataCentre}
 	if r.counts[c] += n; r.counts[c] == 0 {
 		delete(r.counts, c)
 	}
 }
 
-// put lists a server.
-func (r *Roster) put(s routing.Server) {
+// insert adds or replaces a server.
+func (r *Roster) insert(s routing.Server) {
 	if before, listed := r.servers[s.ID]; listed {
-		r.count(before, -1)
+		r.addCount(before, -1)
 	}
-	r.count(s, 1)
+	r.addCount(s, 1)
 	r.servers[s.ID] = s
-	r.touch(s.ID)
+	r.markTouched(s.ID)
 }
 
-// take takes a server off the list.
-func (r *Roster) take(id string) {
+// unlist removes a server from the list.
+func (r *Roster) unlist(id string) {
 	s, listed := r.servers[id]
 	if !listed {
 		return
 	}
-	r.count(s, -1)
+	r.addCount(s, -1)
 	delete(r.servers, id)
-	r.touch(id)
+	r.markTouched(id)
 }
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -1,7 +1,6 @@
-// Package roster keeps the list of backend servers as the platform's store
-// tells it. Entries may lapse while the store can't be reached though the
-// servers live; those are doubtful for a while after it is back, and are
-// forgotten only then. It has no input or output.
+// Package roster maintains the list of backend servers from the platform's store. While the store
+// is unreachable, entries of live servers may expire. When it is reachable again, such entries are
+// doubtful for a while before they are removed. The package does no I/O.
 package roster
 
 import (
@@ -13,328 +12,328 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// ReturnGrace is how long after the store is back an entry that is missing
-// counts as doubtful: servers that live write theirs within about 2 s
-// (PROTOCOL, service discovery), and no bound on removed servers holds until
-// 3 s after.
-const ReturnGrace = 2200 * time.Millisecond
+// RecoveryGrace is how long a missing entry counts as doubtful after the store is reachable again:
+// live servers write theirs within about 2 s (PROTOCOL, service discovery), and the bound on
+// removed servers does not apply until 3 s after.
+const RecoveryGrace = 2200 * time.Millisecond
 
-// doubtMost bounds the doubt of one entry once the store is back: a server that
+// maxDoubt limits how long one entry is doubtful once the store is reachable: a server that has
 // left must get no request later than 2 s after (bound drainMs).
-const doubtMost = 1600 * time.Millisecond
+const maxDoubt = 1600 * time.Millisecond
 
-// Roster is the list. It is not safe for concurrent use.
+// Roster is the list of backend servers. It is not safe for concurrent use.
 type Roster struct {
-	servers  map[string]routing.Server
-	doubtful map[string]doubt // those of them that the store lacks
-	downAt   time.Time        // zero: the store answers
-	backAt   time.Time
-	blindAt  time.Time // when the store was lost last
-	since    time.Time // the store is followed without a gap since then; zero: it is not
-	stamp    Stamp
-	was      Stamp    // before SetStamp was called last
-	back     returned // what is remembered of a return of the store from a copy
-	log      changeLog
-	touched  map[string]bool // since Changed was called last
-	anew     bool            // the list was empty since then
-	filling  bool            // it is empty, and is being taken
-	counts   map[counted]int
+	servers       map[string]routing.Server
+	doubtful      map[string]doubt // listed servers that are missing from the store
+	storeDownAt   time.Time        // zero if the store is reachable
+	storeUpAt     time.Time
+	storeLostAt   time.Time // when the store was last lost
+	followedSince time.Time // since when the store is followed without a gap; zero if it is not
+	stamp         Stamp
+	prevStamp     Stamp        // stamp before the last SetStamp
+	restore       restoreState // state kept after the store was restored from a copy
+	changes       changeLog
+	touched       map[string]bool // servers changed since the last TakeChanges
+	refilled      bool            // the list was filled from empty since then
+	filling       bool            // the empty list is being filled
+	counts        map[countKey]int
 }
 
-// doubt is that about a server whose entry is missing.
+// doubt is the state of a server whose entry is missing.
 type doubt struct {
 	since time.Time
-	until time.Time // as another router told it; zero: this one works it out
+	until time.Time // as reported by a peer; zero if computed here
 }
 
-// Stamp orders the lists that routers have, and the answers of the store: by the store's
-// era, which rises when the store comes back from an older copy and gives versions out
-// again, by the version of the last change, and then by what was forgotten since without
-// the store's answer.
+// Stamp orders the lists of routers and the answers of the store: first by the store's era, which
+// increases when the store is restored from an older copy and reuses versions, then by the version
+// of the last change, then by the number of changes made since then without an answer of the
+// store.
 type Stamp struct {
 	Era     uint64
 	Version uint64
 	Edits   uint32
 }
 
-// After reports whether the list of s is newer than that of o.
+// After reports whether a list with stamp s is newer than one with stamp o.
 func (s Stamp) After(o Stamp) bool {
 	return cmp.Or(cmp.Compare(s.Era, o.Era), cmp.Compare(s.Version, o.Version), cmp.Compare(s.Edits, o.Edits)) > 0
 }
 
-// Stamp returns the list's.
+// Stamp returns the stamp of the list.
 func (r *Roster) Stamp() Stamp { return r.stamp }
 
-// SetStamp notes that the list, with what is told next, is as of the stamp.
+// SetStamp sets the stamp of the list and of the updates applied next.
 func (r *Roster) SetStamp(s Stamp) {
 	if s.Era != r.stamp.Era {
-		r.log.reset(s)
+		r.changes.reset(s)
 	}
-	r.was = r.stamp
+	r.prevStamp = r.stamp
 	r.stamp = s
 }
 
-// New returns an empty list.
+// New returns an empty roster.
 func New() *Roster {
 	return &Roster{
 		servers:  map[string]routing.Server{},
 		doubtful: map[string]doubt{},
-		back:     newReturned(),
+		restore:  newRestoreState(),
 		touched:  map[string]bool{},
-		counts:   map[counted]int{},
+		counts:   map[countKey]int{},
 	}
 }
 
-// StoreDown notes that the store does not answer.
+// StoreDown records that the store is unreachable.
 func (r *Roster) StoreDown(now time.Time) {
-	r.since = time.Time{}
-	if r.downAt.IsZero() {
-		r.downAt = now
-		r.blindAt = now
+	r.followedSince = time.Time{}
+	if r.storeDownAt.IsZero() {
+		r.storeDownAt = now
+		r.storeLostAt = now
 	}
 }
 
-// NotFollowed notes that the list comes from other routers.
-func (r *Roster) NotFollowed() { r.since = time.Time{} }
+// StopFollowing records that the list now comes from peers instead of the store.
+func (r *Roster) StopFollowing() { r.followedSince = time.Time{} }
 
-// Followed returns for how long the store has been followed without a gap.
-func (r *Roster) Followed(now time.Time) time.Duration {
-	if r.since.IsZero() {
+// FollowedFor returns how long the store has been followed without a gap.
+func (r *Roster) FollowedFor(now time.Time) time.Duration {
+	if r.followedSince.IsZero() {
 		return 0
 	}
-	return now.Sub(r.since)
+	return now.Sub(r.followedSince)
 }
 
-// Settle ends the doubt about missing entries at the report of a router that has
-// followed the store without a gap for so long: if that began before this one
-// lost the store, the store was there, and only this router was cut off. It
-// reports whether there was any doubt.
-func (r *Roster) Settle(followed time.Duration, now time.Time) bool {
-	if len(r.doubtful) == 0 || followed <= now.Sub(r.blindAt) || r.back.within(ReturnGrace, now) {
+// ResolveDoubt removes the doubtful servers on the report of a peer that has followed the store
+// without a gap for the given time. If that began before this router lost the store, the store was
+// reachable and only this router was cut off. It reports whether there were doubtful servers.
+func (r *Roster) ResolveDoubt(followed time.Duration, now time.Time) bool {
+	if len(r.doubtful) == 0 || followed <= now.Sub(r.storeLostAt) || r.restore.within(RecoveryGrace, now) {
 		return false
 	}
-	r.edited()
+	r.countEdit()
 	for id := range r.doubtful {
-		r.note(id)
-		r.forget(id, now)
+		r.logChange(id)
+		r.remove(id, now)
 	}
 	return true
 }
 
-// edited notes that the list is being changed without the store's answer. Only who follows the
-// store counts that in the stamp: a router that is told by others would count its own changes
-// as if they were theirs, and take a later list of theirs for one that it has.
-func (r *Roster) edited() {
-	if !r.since.IsZero() {
+// countEdit counts a change of the list that is not an answer of the store. Only routers that
+// follow the store count these in the stamp: one that gets its list from peers would count its own
+// changes as theirs and mistake a later list of theirs for one that
+// it already has.
+func (r *Roster) countEdit() {
+	if !r.followedSince.IsZero() {
 		r.stamp.Edits++
 	}
 }
 
-// StoreBack notes that the store answers.
-func (r *Roster) StoreBack(now time.Time) {
-	if r.since.IsZero() {
-		r.since = now
+// StoreUp records that the store is reachable.
+func (r *Roster) StoreUp(now time.Time) {
+	if r.followedSince.IsZero() {
+		r.followedSince = now
 	}
-	if r.downAt.IsZero() {
+	if r.storeDownAt.IsZero() {
 		return
 	}
-	r.downAt = time.Time{}
-	r.backAt = now
+	r.storeDownAt = time.Time{}
+	r.storeUpAt = now
 }
 
-// shaky reports whether a missing entry may be that of a server that lives.
-func (r *Roster) shaky(now time.Time) bool {
-	if !r.downAt.IsZero() {
+// removalUncertain reports whether a missing entry may belong to a live server.
+func (r *Roster) removalUncertain(now time.Time) bool {
+	if !r.storeDownAt.IsZero() {
 		return true
 	}
-	return !r.backAt.IsZero() && now.Sub(r.backAt) < ReturnGrace
+	return !r.storeUpAt.IsZero() && now.Sub(r.storeUpAt) < RecoveryGrace
 }
 
-// Apply takes changed and removed entries.
-func (r *Roster) Apply(changed []routing.Server, gone []string, now time.Time) {
+// Apply applies changed and removed entries.
+func (r *Roster) Apply(changed []routing.Server, removed []string, now time.Time) {
 	for _, s := range changed {
-		r.note(s.ID)
+		r.logChange(s.ID)
 		r.set(s)
 	}
-	for _, id := range gone {
-		r.note(id)
-		r.lose(id, now)
+	for _, id := range removed {
+		r.logChange(id)
+		r.handleMissing(id, now)
 	}
 }
 
-// differs reports whether the entry changes the list.
+// differs reports whether the entry would change the list.
 func (r *Roster) differs(s routing.Server) bool {
 	known, listed := r.servers[s.ID]
 	_, doubted := r.doubtful[s.ID]
-	_, held := r.back.held[s.ID]
+	_, held := r.restore.held[s.ID]
 	return !listed || known != s || doubted || held
 }
 
-// set takes an entry.
+// set applies an entry of the store.
 func (r *Roster) set(s routing.Server) {
 	if r.differs(s) {
-		r.put(s)
+		r.insert(s)
 	}
 	delete(r.doubtful, s.ID)
-	r.back.written(s.ID)
+	r.restore.confirm(s.ID)
 }
 
-// Replace takes the whole list anew. sure says that a missing entry is that of
-// a server that has left, also if this router can't ask the store: the list is
-// that of a router which can. For a while after the store's return from a copy
-// no list is believed so far: see merge.
-func (r *Roster) Replace(list []routing.Server, sure bool, now time.Time) {
+// Replace replaces the whole list. If authoritative is true, a missing entry means that its server has
+// left, even if this router can't reach the store: the list comes from a router that can. Shortly
+// after a restore of the store no list is trusted that far: see mergeRestored.
+func (r *Roster) Replace(list []routing.Server, authoritative bool, now time.Time) {
 	if len(r.servers) == 0 {
-		r.begin(len(list))
+		r.startFill(len(list))
 	}
 	defer func() { r.filling = false }()
-	if r.filling || r.back.within(heldFor, now) {
-		r.log.reset(r.stamp)
+	if r.filling || r.restore.within(holdTime, now) {
+		r.changes.reset(r.stamp)
 	} else {
-		r.log.skip(Gap{r.was, r.stamp})
+		r.changes.addGap(Gap{r.prevStamp, r.stamp})
 	}
-	if r.back.within(heldFor, now) {
-		r.merge(list, now)
+	if r.restore.within(holdTime, now) {
+		r.mergeRestored(list, now)
 		return
 	}
-	r.keepHeld(list)
+	r.pruneHeld(list)
 	for _, s := range list {
-		if h, ok := r.back.held[s.ID]; ok && !sure && h.server.Identity() == s.Identity() {
+		if entry, held := r.restore.held[s.ID]; held && !authoritative && entry.server.Identity() == s.Identity() {
 			continue
 		}
 		if r.differs(s) {
-			r.note(s.ID)
+			r.logChange(s.ID)
 		}
 		r.set(s)
 	}
 	for _, id := range r.missing(list) {
-		r.note(id)
-		if sure {
-			r.forget(id, now)
+		r.logChange(id)
+		if authoritative {
+			r.remove(id, now)
 			continue
 		}
-		r.lose(id, now)
+		r.handleMissing(id, now)
 	}
 }
 
-// missing returns the IDs of the servers that the list lacks.
+// missing returns the IDs of listed servers that are not in the given list.
 func (r *Roster) missing(list []routing.Server) (ids []string) {
 	if r.filling && len(r.servers) == len(list) {
 		return nil
 	}
-	named := namedBy(list)
+	present := idSet(list)
 	for id := range r.servers {
-		if !named[id] {
+		if !present[id] {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// namedBy returns the IDs of the servers of a list.
-func namedBy(list []routing.Server) map[string]bool {
-	named := make(map[string]bool, len(list))
+// idSet returns the set of server IDs in a list.
+func idSet(list []routing.Server) map[string]bool {
+	ids := make(map[string]bool, len(list))
 	for _, s := range list {
-		named[s.ID] = true
+		ids[s.ID] = true
 	}
-	return named
+	return ids
 }
 
-// Forget drops a server whose entry has become unusable, without doubt: the entry is there and
-// says so, as of a version of the store. It reports whether the server was listed.
-func (r *Roster) Forget(id string, as Stamp, now time.Time) bool {
+// Remove removes a server whose entry has become unusable as of a version of the store. There is
+// no doubt, since the entry itself says so. It reports whether the server was listed.
+func (r *Roster) Remove(id string, stamp Stamp, now time.Time) bool {
 	if _, known := r.servers[id]; !known {
 		return false
 	}
-	r.stamp.Edits++ // other routers take the list without it
-	if as.After(r.stamp) {
-		r.stamp = as
+	r.stamp.Edits++ // makes the stamp newer, so that peers take the list
+	if stamp.After(r.stamp) {
+		r.stamp = stamp
 	}
-	r.note(id)
-	r.forget(id, now)
+	r.logChange(id)
+	r.remove(id, now)
 	return true
 }
 
-// forget drops an entry.
-func (r *Roster) forget(id string, now time.Time) {
+// remove removes a server from the list.
+func (r *Roster) remove(id string, now time.Time) {
 	if s, known := r.servers[id]; known {
-		r.back.leaves(s, now)
+		r.restore.recordDeparture(s, now)
 	}
-	r.take(id)
+	r.unlist(id)
 	delete(r.doubtful, id)
 }
 
-// lose forgets an entry, or doubts it.
-func (r *Roster) lose(id string, now time.Time) {
-	r.back.written(id) // that it was removed
+// handleMissing removes a server whose entry is gone, or marks it doubtful if the removal is
+// uncertain.
+func (r *Roster) handleMissing(id string, now time.Time) {
+	r.restore.confirm(id) // the store confirms the removal
 	if _, known := r.servers[id]; !known {
 		return
 	}
-	if !r.shaky(now) {
-		r.forget(id, now)
+	if !r.removalUncertain(now) {
+		r.remove(id, now)
 		return
 	}
-	r.doubt(id, now)
+	r.markDoubtful(id, now)
 }
 
-// doubt notes since when an entry is missing.
-func (r *Roster) doubt(id string, now time.Time) {
+// markDoubtful marks a server whose entry is missing.
+func (r *Roster) markDoubtful(id string, now time.Time) {
 	if _, already := r.doubtful[id]; !already {
 		r.doubtful[id] = doubt{since: now}
-		r.touch(id)
+		r.markTouched(id)
 	}
 }
 
-// Tick forgets the doubtful entries whose time is over, and reports whether
-// there were any. While the store is down nothing is forgotten that this router doubts.
+// Tick removes doubtful servers whose time is over, releases held entries that are due, and
+// reports whether anything changed. While the store is down, entries that this router itself
+// doubts are kept.
 func (r *Roster) Tick(now time.Time) bool {
-	r.back.forgetLeavers(now)
+	r.restore.pruneDepartures(now)
 	var release []string
-	if r.downAt.IsZero() {
-		release = r.back.due(now)
+	if r.storeDownAt.IsZero() {
+		release = r.restore.expiredHolds(now)
 	}
-	var over []string
+	var expired []string
 	for id := range r.doubtful {
-		if r.doubtLeft(id, now) <= 0 {
-			over = append(over, id)
+		if r.remainingDoubt(id, now) <= 0 {
+			expired = append(expired, id)
 		}
 	}
-	if len(release)+len(over) == 0 {
+	if len(release)+len(expired) == 0 {
 		return false
 	}
-	r.edited()
+	r.countEdit()
 	for _, id := range release {
-		r.note(id)
-		r.set(r.back.held[id].server)
+		r.logChange(id)
+		r.set(r.restore.held[id].server)
 	}
-	for _, id := range over {
-		r.note(id)
-		r.forget(id, now)
+	for _, id := range expired {
+		r.logChange(id)
+		r.remove(id, now)
 	}
 	return true
 }
 
-// doubtLeft is for how much longer a missing server counts as one that lives.
-func (r *Roster) doubtLeft(id string, now time.Time) time.Duration {
+// remainingDoubt returns how much longer a server without an entry counts as live.
+func (r *Roster) remainingDoubt(id string, now time.Time) time.Duration {
 	d := r.doubtful[id]
 	switch {
 	case !d.until.IsZero():
 		return d.until.Sub(now)
-	case !r.downAt.IsZero():
-		return ReturnGrace
+	case !r.storeDownAt.IsZero():
+		return RecoveryGrace
 	}
 	since := d.since
-	if since.Before(r.backAt) {
-		since = r.backAt
+	if since.Before(r.storeUpAt) {
+		since = r.storeUpAt
 	}
-	left := min(since.Add(doubtMost).Sub(now), r.backAt.Add(ReturnGrace).Sub(now))
-	if r.back.lacks(id, now) {
-		left = max(left, r.back.at.Add(ReturnGrace).Sub(now))
+	left := min(since.Add(maxDoubt).Sub(now), r.storeUpAt.Add(RecoveryGrace).Sub(now))
+	if r.restore.awaitsRewrite(id, now) {
+		left = max(left, r.restore.at.Add(RecoveryGrace).Sub(now))
 	}
 	return left
 }
 
-// List returns the servers in the order of their IDs.
+// List returns the servers in order of their IDs.
 func (r *Roster) List() []routing.Server {
 	list := make([]routing.Server, 0, len(r.servers))
 	for _, s := range r.servers {
@@ -344,8 +343,8 @@
 	return list
 }
 
-// Doubtful reports whether the entry was missing when the list was last read.
-func (r *Roster) Doubtful(id string) bool {
+// IsDoubtful reports whether the server is listed although its entry is missing from the store.
+func (r *Roster) IsDoubtful(id string) bool {
 	_, ok := r.doubtful[id]
 	return ok
 }
--- a/internal/core/routing/ask.go
+++ b/internal/core/routing/ask.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Part is one part of a prompt, in the order of the prompt. Requests share
-// parts; the last one belongs to the request or its session.
-type Part struct {
+// PromptPart is one part of a prompt, in prompt order. Requests may share leading parts; the last
+// part belongs to the request or its session.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Ask is what a caller says of its request beside its method, path and body.
-type Ask struct {
-	Attempt   string // the caller's id of this attempt; each has its own
-	Key       string // empty: none
-	Left      time.Duration
-	HasLeft   bool // the caller said how long it waits
-	Prompt    []Part
-	TokensIn  int // of the prompt
-	TokensOut int // at most
-	LastEvent string
+// RequestMeta is what a caller specifies about its request in addition to method, path and body.
+type RequestMeta struct {
+	Attempt        string // caller's ID of this attempt, unique for each
+	IdempotencyKey string // empty if there is none
+	TimeLeft       time.Duration
+	HasTimeLeft    bool // the caller specified how long it waits
+	Prompt         []PromptPart
+	TokensIn       int // size of the prompt
+	TokensOut      int // maximum size of the answer
+	LastEventID    string
 }
 
-// Tokens returns the size of a prompt by its parts.
-func Tokens(prompt []Part) int {
+// PromptSize returns the size of a prompt, summed over its parts.
+func PromptSize(prompt []PromptPart) int {
 	total := 0
 	for _, p := range prompt {
 		total += p.Tokens
@@ -30,14 +30,15 @@
 	return total
 }
 
-// PromptTokens returns the size of the prompt, by its parts if it has any.
-func (a *Ask) PromptTokens() int { return max(Tokens(a.Prompt), a.TokensIn) }
+// PromptTokens returns the size of the prompt: the sum of its parts or the declared size,
+// whichever is larger.
+func (a *RequestMeta) PromptTokens() int { return max(PromptSize(a.Prompt), a.TokensIn) }
 
-// Order is what the fleet itself says to a backend server with a request.
-type Order struct {
-	Left     time.Duration // what is left of the request's time
-	ServerID string        // the start of the server that is to answer
-	Customer string        // empty: none
-	After    string        // the last event that the caller has; empty: a first run
-	FetchAt  string        // a server that keeps parts of the prompt, IP:port; empty: none
+// ForwardMeta is what the fleet sends to a backend server along with a request.
+type ForwardMeta struct {
+	TimeLeft    time.Duration // remaining time of the request
+	ServerID    string        // ID of the server start that must answer
+	Customer    string        // empty if there is none
+	LastEventID string        // ID of the last event that the caller has received; empty for a first run
+	FetchFrom   string        // IP:port of a server that holds parts of the prompt; empty if there is none
 }
--- a/internal/core/routing/content_test.go
+++ b/internal/core/routing/content_test.go
@@ -6,18 +6,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// What a request asks is the same for each copy and another as soon as one part differs.
-func TestContentIsThatOfEachCopy(t *testing.T) {
-	base := ContentOf("ana", "POST", "host", "/s/x", []byte("body"))
-	assert.Equal(t, ContentOf("ana", "POST", "host", "/s/x", []byte("body")), base)
-	for _, other := range []Content{
-		ContentOf("bea", "POST", "host", "/s/x", []byte("body")),
-		ContentOf("ana", "GET", "host", "/s/x", []byte("body")),
-		ContentOf("ana", "POST", "host2", "/s/x", []byte("body")),
-		ContentOf("ana", "POST", "host", "/s/x?y", []byte("body")),
-		ContentOf("ana", "POST", "host", "/s/x", []byte("body2")),
-		ContentOf("anaP", "OST", "host", "/s/x", []byte("body")),
-		ContentOf("", "", "", "", nil),
+// Copies of a request have the same content hash, and a request that differs in any part has
+// another.
+func TestContentHashDependsOnEveryPartOfARequest(t *testing.T) {
+	base := HashContent("ana", "POST", "host", "/s/x", []byte("body"))
+	assert.Equal(t, HashContent("ana", "POST", "host", "/s/x", []byte("body")), base)
+	for _, other := range []ContentHash{
+		HashContent("bea", "POST", "host", "/s/x", []byte("body")),
+		HashContent("ana", "GET", "host", "/s/x", []byte("body")),
+		HashContent("ana", "POST", "host2", "/s/x", []byte("body")),
+		HashContent("ana", "POST", "host", "/s/x?y", []byte("body")),
+		HashContent("ana", "POST", "host", "/s/x", []byte("body2")),
+		HashContent("anaP", "OST", "host", "/s/x", []byte("body")),
+		HashContent("", "", "", "", nil),
 	} {
 		assert.Assert(t, other != base)
 	}
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -1,6 +1,5 @@
-// Package routing holds one version of the fleet's configuration, as the
-// product understands it, and decides which service a request goes to. It has
-// no input or output; versions are replaced whole and never changed.
+// Package routing holds one version of the fleet's configuration and selects the service for a
+// request. It does no I/O. A version is replaced as a whole and never modified.
 package routing
 
 import (
@@ -10,55 +9,53 @@
 	"time"
 )
 
-// Kind says what may be done with a request of a route more than once.
+// Kind says whether a request of a route may run more than once.
 type Kind int
 
-// The kinds of request.
 const (
 	Idempotent Kind = iota + 1 // may run more than once
 	RunOnce                    // may run at most once for each attempt of a caller
-	Stream                     // answered by a series of events; runs at most once unless resumable
+	Stream                     // answered by a stream of events; runs at most once unless resumable
 )
 
-// Share is one of the services that a route is split over.
+// Share is the weight of one of the services that a route is split over.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route is one entry of the configuration: which requests it takes and how
-// they are treated.
+// Route is a configuration entry that selects requests and says how they are handled.
 type Route struct {
 	Name        string
 	Host        string
-	Prefix      string // begins and ends with a slash
+	Prefix      string // starts and ends with a slash
 	Kind        Kind
-	Resumable   bool // streams only: another server may go on after the last event
-	Public      bool // no key is asked for
+	Resumable   bool // another server may continue after the last event
+	Public      bool // no key is required
 	Timeout     time.Duration
-	Target      time.Duration // an answer (streams: the first event) within it is in time
-	GapTarget   time.Duration // streams: the longest pause between events that is in time
+	Target      time.Duration // an answer (for streams, the first event) is on time within it
+	GapTarget   time.Duration // streams: longest pause between events that is on time
 	Priority    int           // 0 is the highest
-	MaxAttempts int           // servers that one attempt of a caller may be sent to
+	MaxAttempts int           // number of servers that one attempt of a caller may be sent to
 	Shares      []Share
-	Homes       Homes
+	Homes       Regions
 }
 
-// Repeatable reports whether a request that may have run may be sent again.
+// Repeatable reports whether a request that may have run already may be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a draw u in [0,1), by weight.
-func (r *Route) Pick(u float64) string {
+// PickService returns a service chosen by weight for a random u in [0,1).
+func (r *Route) PickService(u float64) string {
 	var total float64
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := u * total
+	remaining := u * total
 	for _, s := range r.Shares {
-		at -= s.Weight
-		if at < 0 {
+		remaining -= s.Weight
+		if remaining < 0 {
 			return s.Service
 		}
 	}
@@ -68,67 +65,67 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Engine is what the operator declares of a service's model engines.
+// Engine is the operator's description of the model engines of a service.
 type Engine struct {
-	Slots       int   // requests that run at once
-	CacheTokens int64 // memory for prompts and running requests
-	// FetchPerToken is how long a server takes to fetch a token's memory from
-	// another one; 0: it can't.
+	Slots       int   // maximum number of concurrent requests
+	CacheTokens int64 // capacity for prompts and running requests
+	// FetchPerToken is how long a server takes to fetch the cached state of one token from another
+	// server; 0 if it can't.
 	FetchPerToken time.Duration
 }
 
 // Service is a group of backend servers that serve the same requests.
 type Service struct {
 	Name           string
-	MaxConnections int     // for each server, from all routers
-	Engine         *Engine // nil: a plain service
+	MaxConnections int     // per server, from all routers
+	Engine         *Engine // nil for a service without model engines
 	SlowStart      SlowStart
 }
 
-// SlowStart is what the operator declares of a service's servers after their start.
+// SlowStart is the operator's description of how the servers of a service warm up after a start.
 type SlowStart struct {
-	For       time.Duration // how long they are cold; 0: they are not
-	PerSecond float64       // requests that a cold one bears; 0: not bounded
+	For       time.Duration // duration of the warm-up; 0 if there is none
+	PerSecond float64       // request rate that a cold server can bear; 0 if not limited
 }
 
-// Homes are the regions in which requests may be served; nil: all.
-type Homes []string
+// Regions lists the regions in which requests may be served; nil means all.
+type Regions []string
 
-// Allow reports whether the region is one of them.
-func (h Homes) Allow(region string) bool { return h == nil || slices.Contains(h, region) }
+// Allows reports whether requests may be served in the region.
+func (r Regions) Allows(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// And returns the regions that both allow.
-func (h Homes) And(o Homes) Homes {
-	if h == nil {
-		return o
+// Intersect returns the regions that both allow.
+func (r Regions) Intersect(other Regions) Regions {
+	if r == nil {
+		return other
 	}
-	if o == nil {
-		return h
+	if other == nil {
+		return r
 	}
-	both := Homes{}
-	for _, region := range h {
-		if o.Allow(region) {
+	both := Regions{}
+	for _, region := range r {
+		if other.Allows(region) {
 			both = append(both, region)
 		}
 	}
 	return both
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on what a caller may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
-	TokensPerSec   float64 // what the engines make together; 0: unknown
+	TokensPerSec   float64 // total throughput of the engines; 0 if unknown
 }
 
-// Customer is one customer and the keys by which its requests are known.
+// Customer is a customer with the keys that identify its requests.
 type Customer struct {
 	Name     string
 	Keys     []string
-	Priority int // 0 is the highest; negative: none, the route's counts
-	Homes    Homes
+	Priority int // 0 is the highest; negative means that the route's priority applies
+	Homes    Regions
 }
 
 // Config is one version of the whole configuration.
@@ -140,8 +137,7 @@
 	Limits    Limits
 }
 
-// Table answers the questions of a request's path for one version of the
-// configuration. It is never changed after [NewTable].
+// Table is the lookup index of one version of the configuration. It is immutable after [NewTable].
 type Table struct {
 	Config   *Config
 	hosts    map[string][]*Route // longest prefix first
@@ -149,7 +145,7 @@
 	services map[string]*Service
 }
 
-// NewTable indexes the configuration.
+// NewTable builds the lookup index of a configuration.
 func NewTable(c *Config) *Table {
 	t := &Table{
 		Config:   c,
@@ -178,8 +174,8 @@
 	return t
 }
 
-// Route returns the route of the host with the longest prefix that begins the
-// path, or nil. A port in host is ignored.
+// Route returns the route of the host with the longest prefix that matches the path, or nil. A
+// port in host is ignored.
 func (t *Table) Route(host, path string) *Route {
 	host = strings.ToLower(host)
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
@@ -193,14 +189,14 @@
 	return nil
 }
 
-// Customer returns the customer that holds the key, or nil.
+// Customer returns the customer with the given key, or nil.
 func (t *Table) Customer(key string) *Customer { return t.keys[key] }
 
-// Service returns the service of the name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Engine reports whether the service of the name is one of model engines.
-func (t *Table) Engine(name string) bool {
+// HasEngines reports whether the named service has model engines.
+func (t *Table) HasEngines(name string) bool {
 	s := t.services[name]
 	return s != nil && s.Engine != nil
 }
--- a/internal/core/spread/digest.go
+++ b/internal/core/spread/digest.go
@@ -9,92 +9,94 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest stands for the live routers of a data centre: two lists with the same one are the same.
+// Digest identifies the set of live routers of a data centre: equal lists have equal digests.
 type Digest struct {
 	_       struct{} `cbor:",toarray"`
 	Routers int
-	Sum     uint64 // of the hashes of their names and sizes, by exclusive or
+	Sum     uint64 // exclusive or of the hashes of their addresses and sizes
 }
 
-// coresSpread spreads sizes over all bits of a hash: 2^64 over the golden ratio.
-const coresSpread = 0x9e3779b97f4a7c15
+// coresHashFactor spreads sizes over all bits of a hash: 2^64 divided by the golden ratio.
+const coresHashFactor = 0x9e3779b97f4a7c15
 
-// toggle adds a router to the sum, or takes it out again.
+// toggle adds a router to the sum, or removes it.
 func (d *Digest) toggle(m Member) {
-	d.Sum ^= xxhash.Sum64String(m.Addr) ^ uint64(math.Float32bits(m.Cores))*coresSpread
+	d.Sum ^= xxhash.Sum64String(m.Addr) ^ uint64(math.Float32bits(m.Cores))*coresHashFactor
 }
 
-// Digest returns that of a data centre as this router knows it, itself included.
-func (s *Spread) Digest(dataCentre string) Digest {
-	d := s.centre(dataCentre).digest
-	if dataCentre == s.self.DataCentre {
-		d.toggle(s.self)
+// Digest returns the digest of a data centre in this router's view, which includes the router
+// itself.
+func (v *View) Digest(dataCentre string) Digest {
+	d := v.centre(dataCentre).digest
+	if dataCentre == v.self.DataCentre {
+		d.toggle(v.self)
 		d.Routers++
 	}
 	return d
 }
 
-// Digests returns those of all data centres.
-func (s *Spread) Digests() map[string]Digest {
+// Digests returns the digests of all data centres with live routers.
+func (v *View) Digests() map[string]Digest {
 	all := map[string]Digest{}
-	for name := range s.centres {
-		if d := s.Digest(name); name != "" && d.Routers > 0 {
+	for name := range v.centres {
+		if d := v.Digest(name); name != "" && d.Routers > 0 {
 			all[name] = d
 		}
 	}
 	return all
 }
 
-// Compare notes what another router says of data centres of which this one is told by it, and
-// returns those of which it has another list. What is the same counts as heard now.
-func (s *Spread) Compare(told map[string]Digest, now time.Time) (differ []string) {
-	for name, d := range told {
-		if s.Digest(name) != d {
+// CompareDigests compares a peer's digests with this view, for data centres whose members this
+// router learns from that peer. It returns the data centres that differ. A matching digest
+// confirms all members of its data centre.
+func (v *View) CompareDigests(digests map[string]Digest, now time.Time) (differ []string) {
+	for name, d := range digests {
+		if v.Digest(name) != d {
 			differ = append(differ, name)
 			continue
 		}
-		s.centre(name).confirmed = now
+		v.centre(name).confirmed = now
 	}
 	slices.Sort(differ)
 	return differ
 }
 
-// Members returns the live routers of a data centre, this one included.
-func (s *Spread) Members(dataCentre string) (list []Member) {
-	for _, e := range s.centre(dataCentre).members {
+// Members returns the live routers of a data centre, including this one.
+func (v *View) Members(dataCentre string) (list []Member) {
+	for _, e := range v.centre(dataCentre).members {
 		list = append(list, e.Member)
 	}
-	if dataCentre == s.self.DataCentre {
-		list = append(list, s.self)
+	if dataCentre == v.self.DataCentre {
+		list = append(list, v.self)
 	}
 	slices.SortFunc(list, func(a, b Member) int { return strings.Compare(a.Addr, b.Addr) })
 	return list
 }
 
-// SetMembers takes the whole list of a data centre from another router. Who is not on it, and was
-// not heard lately by this router itself, is not live.
-func (s *Spread) SetMembers(dataCentre string, list []Member, now time.Time) {
-	named := make(map[string]bool, len(list))
+// SetMembers applies a peer's whole list of a data centre. Routers that are neither listed nor
+// recently heard directly are marked silent.
+func (v *View) SetMembers(dataCentre string, list []Member, now time.Time) {
+	listed := make(map[string]bool, len(list))
 	for _, m := range list {
-		named[m.Addr] = true
+		listed[m.Addr] = true
 		m.DataCentre = dataCentre
-		s.Heard(m, 0, now)
+		v.Observe(m, 0, now)
 	}
-	for _, e := range s.centre(dataCentre).members {
-		if !named[e.Addr] && now.Sub(e.direct) >= LiveFor {
-			s.silence(e)
+	for _, e := range v.centre(dataCentre).members {
+		if !listed[e.Addr] && now.Sub(e.lastDirect) >= LiveTimeout {
+			v.markSilent(e)
 		}
 	}
 }
 
-// changesMost bounds the changes that are told at a time: more show by the digest.
-const changesMost = 64
+// maxChanges limits the changes sent at a time; further ones are found through the digest.
+const maxChanges = 64
 
-// Changes are routers that have become live or silent.
+// Changes lists routers that became live or silent.
 type Changes struct{ Joined, Left []Member }
 
-// Of returns the changes of a data centre.
-func (c Changes) Of(dataCentre string) Changes {
+// In returns the changes in one data centre.
+func (c Changes) In(dataCentre string) Changes {
 	other := func(m Member) bool { return m.DataCentre != dataCentre }
 	return Changes{
 		Joined: slices.DeleteFunc(slices.Clone(c.Joined), other),
@@ -102,19 +104,19 @@
 	}
 }
 
-// note adds a router to the ones and takes it off the others.
-func (c *Changes) note(m Member, to, from *[]Member) {
+// record adds a router to one list and removes it from the other.
+func (c *Changes) record(m Member, to, from *[]Member) {
 	*from = slices.DeleteFunc(*from, func(o Member) bool { return o.Addr == m.Addr })
-	if len(c.Joined)+len(c.Left) < changesMost {
+	if len(c.Joined)+len(c.Left) < maxChanges {
 		*to = append(*to, m)
 	}
 }
 
-func (c *Changes) joined(m Member) { c.note(m, &c.Joined, &c.Left) }
-func (c *Changes) left(m Member)   { c.note(m, &c.Left, &c.Joined) }
+func (c *Changes) joined(m Member) { c.record(m, &c.Joined, &c.Left) }
+func (c *Changes) left(m Member)   { c.record(m, &c.Left, &c.Joined) }
 
-// Plus returns the changes followed by later ones.
-func (c Changes) Plus(o Changes) Changes {
+// Merge returns the changes combined with later ones.
+func (c Changes) Merge(o Changes) Changes {
 	for _, m := range o.Joined {
 		c.joined(m)
 	}
@@ -124,21 +126,21 @@
 	return c
 }
 
-// TakeChanges returns the changes since it was called last, changesMost at most.
-func (s *Spread) TakeChanges() Changes {
-	c := s.changes
-	s.changes = Changes{}
+// TakeChanges returns the changes since the previous call, up to maxChanges.
+func (v *View) TakeChanges() Changes {
+	c := v.changes
+	v.changes = Changes{}
 	return c
 }
 
-// TakeTold takes changes from another router's report.
-func (s *Spread) TakeTold(c Changes, now time.Time) {
+// ApplyChanges applies changes from a peer's report.
+func (v *View) ApplyChanges(c Changes, now time.Time) {
 	for _, m := range c.Joined {
-		s.Heard(m, 0, now)
+		v.Observe(m, 0, now)
 	}
 	for _, m := range c.Left {
-		if e := s.known[m.Addr]; e != nil && now.Sub(e.direct) >= LiveFor {
-			s.silence(e)
+		if e := v.known[m.Addr]; e != nil && now.Sub(e.lastDirect) >= LiveTimeout {
+			v.markSilent(e)
 		}
 	}
 }
--- a/internal/core/spread/ranking.go
+++ b/internal/core/spread/ranking.go
@@ -7,43 +7,42 @@
 )
 
 const (
-	// reportersEach is how many reporters a data centre has: one may be lost
-	// without a report missing.
-	reportersEach = 2
-	// headsEach is how many routers of a data centre, the first in the ranking, routers tell each
-	// other of: by them all agree on its reporters.
-	headsEach = 3
-	// headOld is the age from which a report of a head is not told on: what routers tell each
-	// other would go round for ever.
-	headOld = 3 * LiveFor
-	// readersMost is how many routers of a large fleet follow the store for the
-	// rest: calls are priced, and one or two readers may be lost without a report
-	// missing.
-	readersMost = 3
-	// standInFirst is how many routers of a data centre follow the store for it as soon as
-	// the readers' answers are old, and standInDoubles the time in which these become
-	// twice as many: while the store serves none, each that asks costs calls.
-	standInFirst   = 2
-	standInDoubles = 2 * time.Second
-	// maxDoublings keeps a number of routers within an int.
+	// reportersPerCentre is the number of reporters of a data centre. With two, the loss of one
+	// loses no report.
+	reportersPerCentre = 2
+	// topRankedPerCentre is how many of the top-ranked routers of each data centre routers gossip
+	// about, so that all agree on its reporters.
+	topRankedPerCentre = 3
+	// maxTopRankedAge is the age at which a report of a top-ranked router is no longer passed on.
+	// Without a limit, routers would pass it to each other indefinitely.
+	maxTopRankedAge = 3 * LiveTimeout
+	// maxReaders is how many routers of a large fleet follow the store for all others: calls are
+	// priced, and one or two readers may be lost without a missing report.
+	maxReaders = 3
+	// initialFallbackReaders is how many routers of a data centre follow the store as soon as the
+	// readers' answers are overdue. The number doubles every fallbackDoublingTime. It is limited
+	// because each of them makes calls, and the store may serve none.
+	initialFallbackReaders = 2
+	fallbackDoublingTime   = 2 * time.Second
+	// maxDoublings keeps the number of fallback readers within an int.
 	maxDoublings = 16
 )
 
-// centre is what is known of the routers of a data centre. This router itself is not among them.
+// centre holds the known routers of a data centre, without this router itself.
 type centre struct {
-	spread    *Spread
-	members   map[string]*entry // live ones
-	heads     []*entry          // the first ones in the ranking; nil: to be worked out
+	view      *View
+	members   map[string]*entry // live routers by address
+	top       []*entry          // top-ranked routers; nil if not computed
 	digest    Digest
-	confirmed time.Time // when another router last said the same of it
+	confirmed time.Time // when a peer's digest last matched
 }
 
-// centre returns that of a name.
-func (s *Spread) centre(name string) *centre {
-	c := s.centres[name]
+// centre returns the state of a data centre and creates it if needed.
+func (v *View) centre(name string) *centre {
+	c := v.centres[name]
 	if c == nil {
-		c = &centre{spread: s, members: map[string]*entry{}}
-		s.centres[name] = c
+		c = &centre{view: v, members: map[string]*entry{}}
+		v.centres[name] = c
 	}
 	return c
 }
@@ -52,7 +51,7 @@
 	c.members[e.Addr] = e
 	c.digest.toggle(e.Member)
 	c.digest.Routers++
-	c.unrank()
+	c.invalidateRanking()
 }
 
 func (c *centre) remove(e *entry) {
@@ -62,138 +61,140 @@
 	delete(c.members, e.Addr)
 	c.digest.toggle(e.Member)
 	c.digest.Routers--
-	c.unrank()
+	c.invalidateRanking()
 }
 
-// unrank has the heads worked out anew, and who follows the store.
-func (c *centre) unrank() {
-	c.heads = nil
-	c.spread.readers = nil
+// invalidateRanking discards the top-ranked routers and the readers, which are then recomputed on
+// demand.
+func (c *centre) invalidateRanking() {
+	c.top = nil
+	c.view.readers = nil
 }
 
-// rank returns the first routers in the ranking, of those that answer.
-func (c *centre) rank() []*entry {
-	if c.heads != nil {
-		return c.heads
+// topRanked returns the top-ranked responsive routers.
+func (c *centre) topRanked() []*entry {
+	if c.top != nil {
+		return c.top
 	}
-	heads := make([]*entry, 0, headsEach+1)
+	top := make([]*entry, 0, topRankedPerCentre+1)
 	for _, e := range c.members {
-		if e.mute {
+		if e.unresponsive {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(heads, e, func(a, b *entry) int { return a.before(b.Member) })
-		if at < headsEach {
-			heads = slices.Insert(heads, at, e)
-			heads = heads[:min(len(heads), headsEach)]
+		pos, _ := slices.BinarySearchFunc(top, e, func(a, b *entry) int { return a.before(b.Member) })
+		if pos < topRankedPerCentre {
+			top = slices.Insert(top, pos, e)
+			top = top[:min(len(top), topRankedPerCentre)]
 		}
 	}
-	c.heads = heads
-	return heads
+	c.top = top
+	return top
 }
 
-// first returns the first n routers of a data centre in the ranking, this one included.
-func (s *Spread) first(dataCentre string, n int) []Member {
+// topMembers returns the n top-ranked routers of a data centre, including this one.
+func (v *View) topMembers(dataCentre string, n int) []Member {
 	var list []Member
-	for _, e := range s.centre(dataCentre).rank() {
+	for _, e := range v.centre(dataCentre).topRanked() {
 		list = append(list, e.Member)
 	}
-	if dataCentre == s.self.DataCentre {
-		list = append(list, s.self)
+	if dataCentre == v.self.DataCentre {
+		list = append(list, v.self)
 		slices.SortFunc(list, Member.before)
 	}
 	return list[:min(n, len(list))]
 }
 
-// Reporters returns the reporters of a data centre.
-func (s *Spread) Reporters(dataCentre string) []string {
+// Reporters returns the addresses of the reporters of a data centre.
+func (v *View) Reporters(dataCentre string) []string {
 	var addrs []string
-	for _, m := range s.first(dataCentre, reportersEach) {
+	for _, m := range v.topMembers(dataCentre, reportersPerCentre) {
 		addrs = append(addrs, m.Addr)
 	}
 	return addrs
 }
 
-// place returns how many routers of this one's data centre come before it, up to reportersEach.
-func (s *Spread) place() (n int) {
-	for _, e := range s.centre(s.self.DataCentre).rank() {
-		if e.before(s.self) < 0 {
+// rankIndex returns how many routers of the local data centre rank above this one, up to
+// reportersPerCentre.
+func (v *View) rankIndex() (n int) {
+	for _, e := range v.centre(v.self.DataCentre).topRanked() {
+		if e.before(v.self) < 0 {
 			n++
 		}
 	}
-	return min(n, reportersEach)
+	return min(n, reportersPerCentre)
 }
 
-// Reporter reports whether this router is a reporter.
-func (s *Spread) Reporter() bool { return s.place() < reportersEach }
+// IsReporter reports whether this router is a reporter.
+func (v *View) IsReporter() bool { return v.rankIndex() < reportersPerCentre }
 
-// FirstReporter reports whether this router is the first reporter of its data centre.
-func (s *Spread) FirstReporter() bool { return s.place() == 0 }
+// IsFirstReporter reports whether this router is the first reporter of its data centre.
+func (v *View) IsFirstReporter() bool { return v.rankIndex() == 0 }
 
-// Readers returns the routers that follow the store, not to be changed: the first reporters of the data centres in
-// the order of their names, then the second ones, up to readersMost. Routers whose data centre
-// is not known yet are left out.
-func (s *Spread) Readers() []string {
-	if s.readers != nil {
-		return s.readers
+// Readers returns the routers that follow the store: the first reporters of the data centres in
+// order of their names, then the second ones, up to maxReaders. Routers without a known data
+// centre are left out. The caller must not modify the result.
+func (v *View) Readers() []string {
+	if v.readers != nil {
+		return v.readers
 	}
 	reporters := map[string][]string{}
-	for name := range s.centres {
-		reporters[name] = s.Reporters(name)
+	for name := range v.centres {
+		reporters[name] = v.Reporters(name)
 	}
-	s.readers = readers(reporters)
-	return s.readers
+	v.readers = selectReaders(reporters)
+	return v.readers
 }
 
-func readers(reporters map[string][]string) (list []string) {
+func selectReaders(reporters map[string][]string) (list []string) {
 	centres := slices.Sorted(maps.Keys(reporters))
-	for place := range reportersEach {
+	for rank := range reportersPerCentre {
 		for _, centre := range centres {
-			if centre != "" && place < len(reporters[centre]) && len(list) < readersMost {
-				list = append(list, reporters[centre][place])
+			if centre != "" && rank < len(reporters[centre]) && len(list) < maxReaders {
+				list = append(list, reporters[centre][rank])
 			}
 		}
 	}
 	return list
 }
 
-// Reader reports whether this router follows the store for others.
-func (s *Spread) Reader() bool { return slices.Contains(s.Readers(), s.self.Addr) }
+// IsReader reports whether this router follows the store for others.
+func (v *View) IsReader() bool { return slices.Contains(v.Readers(), v.self.Addr) }
 
-// StandsIn reports whether this router follows the store for its data centre when the
-// answers that the readers report are late by so much. All routers of a data centre
-// rank each other alike.
-func (s *Spread) StandsIn(late time.Duration) bool {
-	if late < 0 {
+// IsFallbackReader reports whether this router must follow the store for its data centre when the
+// answers relayed by the readers are overdue by the given time. All routers of a data centre
+// compute the same ranking.
+func (v *View) IsFallbackReader(overdue time.Duration) bool {
+	if overdue < 0 {
 		return false
 	}
-	doublings := min(int(late/standInDoubles), maxDoublings)
-	most := standInFirst << doublings
+	doublings := min(int(overdue/fallbackDoublingTime), maxDoublings)
+	limit := initialFallbackReaders << doublings
 	before := 0
-	for _, e := range s.centre(s.self.DataCentre).members {
-		if !e.mute && e.before(s.self) < 0 {
+	for _, e := range v.centre(v.self.DataCentre).members {
+		if !e.unresponsive && e.before(v.self) < 0 {
 			before++
 		}
 	}
-	return before < most
+	return before < limit
 }
 
-// Vouched is a router of which another tells.
-type Vouched struct {
+// RelayedMember is a router as reported by another one.
+type RelayedMember struct {
 	Member
-	Age time.Duration // of the last report of it
+	Age time.Duration // since its last report
 }
 
-// Heads returns the routers by which others agree on reporters: the first ones of each data
-// centre, this router included where it is one of them.
-func (s *Spread) Heads(now time.Time) (list []Vouched) {
-	for _, name := range slices.Sorted(maps.Keys(s.centres)) {
-		for _, m := range s.first(name, headsEach) {
+// TopRanked returns the top-ranked routers of each data centre, including this one where it is
+// among them. Peers use them to agree on the reporters.
+func (v *View) TopRanked(now time.Time) (list []RelayedMember) {
+	for _, name := range slices.Sorted(maps.Keys(v.centres)) {
+		for _, m := range v.topMembers(name, topRankedPerCentre) {
 			age := time.Duration(0)
-			if e := s.known[m.Addr]; e != nil {
-				age = now.Sub(e.heard)
+			if e := v.known[m.Addr]; e != nil {
+				age = now.Sub(e.lastSeen)
 			}
-			if name != "" && age < headOld {
-				list = append(list, Vouched{m, age})
+			if name != "" && age < maxTopRankedAge {
+				list = append(list, RelayedMember{m, age})
 			}
 		}
 	}
--- a/internal/core/spread/spread.go
+++ b/internal/core/spread/spread.go
@@ -1,15 +1,16 @@
-// Package spread keeps which routers there are, and decides which of them tell which others of
-// their load, so that everyone knows the fleet's total at a bounded cost. In a small fleet each
-// tells each. In a larger one the routers of a data centre tell two reporters, the ones with the
-// most processor time; reporters tell the sum to the reporters of the other data centres, and the
-// total to the routers of their own. Nobody is elected: all rank the routers that they hear of
-// alike, and while their views differ some reports come twice or from two senders, which does no
-// harm.
+// Package spread tracks the routers of the fleet and decides which of them report their load to
+// which others, so that every router knows the fleet's total at a bounded cost. In a small fleet
+// every router reports to every other. In a larger one, the routers of a data centre report to two
+// reporters, which are those with the most processor time. Reporters send the sum of their data
+// centre to the reporters of the other data centres, and the fleet's total to the routers of their
+// own. There is no election: each router ranks the routers that it knows by the same rule. While
+// views differ, some reports arrive twice or from two senders, which is harmless.
 //
-// A reporter hears the routers of its data centre itself. All others have the list of a data
-// centre from its reporters: changes as they come, and a digest by which a difference shows.
+// A reporter receives reports from the routers of its data centre directly. All other routers get
+// the member list of a data centre from its reporters, as incremental changes and a digest that
+// detects differences.
 //
-// The package has no input or output; time comes in as an argument.
+// The package does no I/O; time is passed in as an argument.
 package spread
 
 import (
@@ -20,41 +21,40 @@
 )
 
 const (
-	// meshMost is the largest fleet in which each router tells each: above it
-	// the datagrams, which grow with the square, cost more than a reporter's
-	// delay.
-	meshMost = 12
-	// fullPaceMost is the largest fleet whose routers tell at each tick. Above it each doubling
-	// halves the pace, down to one in paceMost ticks: what a reporter takes in grows with its
-	// data centre from there on.
-	fullPaceMost = 96
-	paceMost     = 16
-	// LiveFor is how long a router counts as live after the last report of it, where it is to be
-	// heard by this router itself or the fleet is a mesh.
-	LiveFor = 2 * time.Second
-	// vouchedFor is the same for a router that others vouch for: their digests renew it with each
-	// report, and when both reporters of a data centre end at once its routers have to find the
-	// next ones among those that they know.
-	vouchedFor = 20 * time.Second
-	// muteAfter is how long a reporter may leave this router without an answer before the next
-	// one in the ranking is told too.
-	muteAfter = time.Second
-	// tickEvery is how often it is looked through all routers for those that are silent.
-	tickEvery = 100 * time.Millisecond
+	// maxMeshSize is the largest fleet in which every router reports to every other. Above it the
+	// datagrams, whose number grows with the square of the size, cost more than the delay through
+	// a reporter.
+	maxMeshSize = 12
+	// maxFullRateFleet is the largest fleet whose routers report at each tick. Each doubling above
+	// it halves the rate, down to one report in maxReportPeriod ticks. From there on, a reporter's
+	// incoming traffic grows with its data centre.
+	maxFullRateFleet = 96
+	maxReportPeriod  = 16
+	// LiveTimeout is how long a router counts as live after its last report, if this router
+	// receives its reports directly or the fleet is a mesh.
+	LiveTimeout = 2 * time.Second
+	// relayedTimeout is the same for routers known through others. Their digests renew it with
+	// each report. It is longer because, when both reporters of a data centre fail at once, its
+	// routers must find the next ones among the routers that they know.
+	relayedTimeout = 20 * time.Second
+	// unresponsiveAfter is how long a reporter may leave reports unanswered before the next one in
+	// the ranking gets them too.
+	unresponsiveAfter = time.Second
+	// scanInterval is how often all routers are checked for silence.
+	scanInterval = 100 * time.Millisecond
 	// forgetAfter is when a silent router is forgotten, unless it is a seed.
 	forgetAfter = 90 * time.Second
 )
 
-// Member is a router.
+// Member describes a router.
 type Member struct {
-	Addr       string  // its control address, IP:port: its name in the fleet
-	DataCentre string  // empty: not known yet
-	Cores      float32 // processor time that it has, in cores; 0: not known yet
+	Addr       string  // control address, IP:port; identifies the router in the fleet
+	DataCentre string  // empty if not known yet
+	Cores      float32 // available processor time, in cores; 0 if not known yet
 }
 
-// before orders members by how well they can report: the most processor time
-// first, then the lowest address. A reporter takes in the reports of its whole
-// data centre, which a small host can't.
+// before orders members by their suitability as reporters: most processor time first, then lowest
+// address. A reporter handles the reports of its whole data centre, which a small host can't.
 func (m Member) before(o Member) int {
 	if c := cmp.Compare(o.Cores, m.Cores); c != 0 {
 		return c
@@ -62,62 +62,62 @@
 	return strings.Compare(m.Addr, o.Addr)
 }
 
-// entry is what is known of another router.
+// entry is the state of another router.
 type entry struct {
 	Member
-	heard  time.Time // last report of it, its own or another's
-	direct time.Time // last report of its own
-	since  time.Time // when it became live
-	asked  time.Time // since when it has been told without an answer; zero: it is not told
-	probed time.Time // last probe
-	seed   bool
-	live   bool
-	mute   bool
+	lastSeen        time.Time // last report of it, direct or relayed
+	lastDirect      time.Time // last direct report
+	liveSince       time.Time // when it became live
+	unansweredSince time.Time // since when it has left reports unanswered; zero if it gets none
+	lastProbe       time.Time // when it was last probed
+	seed            bool
+	live            bool
+	unresponsive    bool
 }
 
-// Spread is one router's view of the fleet. It is not safe for concurrent use.
-type Spread struct {
-	self    Member
-	known   map[string]*entry
-	centres map[string]*centre
-	live    int // of known
-	// fleet is how many routers another one said that there are, for who knows few yet.
-	fleet         int
-	readers       []string  // nil: to be worked out
-	ticked        time.Time // when Tick last looked through all
-	reporterSince time.Time // zero: this router is no reporter
-	directAt      time.Time // when any router was heard itself
-	changes       Changes   // since TakeChanges was called last
-	probeAfter    string    // the address up to which silent routers were probed in turn
+// View is one router's view of the fleet. It is not safe for concurrent use.
+type View struct {
+	self      Member
+	known     map[string]*entry
+	centres   map[string]*centre
+	liveCount int // live routers in known
+	// reportedSize is the fleet size according to a peer, for a router that knows few others yet.
+	reportedSize  int
+	readers       []string  // nil if not computed
+	lastScan      time.Time // last scan by Tick
+	reporterSince time.Time // zero if this router is not a reporter
+	directAt      time.Time // last direct report of any router
+	changes       Changes   // since the last TakeChanges
+	probeCursor   string    // address up to which silent routers were probed, in round-robin order
 }
 
-// New returns the view of a router that knows no other.
-func New(self Member) *Spread {
-	s := &Spread{self: self, known: map[string]*entry{}, centres: map[string]*centre{}}
-	s.centre(self.DataCentre)
-	return s
+// New returns the view of a router that knows no others.
+func New(self Member) *View {
+	v := &View{self: self, known: map[string]*entry{}, centres: map[string]*centre{}}
+	v.centre(self.DataCentre)
+	return v
 }
 
-// Add makes a router known without a report of it.
-func (s *Spread) Add(m Member, seed bool, now time.Time) {
-	if m.Addr == s.self.Addr || m.Addr == "" {
+// Add adds a router without a report of it.
+func (v *View) Add(m Member, seed bool, now time.Time) {
+	if m.Addr == v.self.Addr || m.Addr == "" {
 		return
 	}
-	e := s.known[m.Addr]
+	e := v.known[m.Addr]
 	if e == nil {
-		e = &entry{Member: m, heard: now.Add(-vouchedFor)}
-		s.known[m.Addr] = e
+		e = &entry{Member: m, lastSeen: now.Add(-relayedTimeout)}
+		v.known[m.Addr] = e
 	}
 	if m.DataCentre != "" && m.DataCentre != e.DataCentre || m.Cores > 0 && m.Cores != e.Cores {
-		s.describe(e, m)
+		v.updateMember(e, m)
 	}
 	e.seed = e.seed || seed
 }
 
-// describe takes over what a report says of a router.
-func (s *Spread) describe(e *entry, m Member) {
+// updateMember applies the data centre and size from a report.
+func (v *View) updateMember(e *entry, m Member) {
 	live := e.live
-	s.silence(e)
+	v.markSilent(e)
 	if m.DataCentre != "" {
 		e.DataCentre = m.DataCentre
 	}
@@ -125,124 +125,125 @@
 		e.Cores = m.Cores
 	}
 	if live {
-		s.raise(e, e.since)
+		v.markLive(e, e.liveSince)
 	}
 }
 
-// Heard notes a report of a router, its own or one by which another vouches for it, age ago. It
-// reports whether the router was silent before.
-func (s *Spread) Heard(m Member, age time.Duration, now time.Time) bool {
-	if m.Addr == s.self.Addr || m.Addr == "" {
+// Observe records a report of a router, direct or relayed by another one, that is as old as age.
+// It reports whether the router was silent before.
+func (v *View) Observe(m Member, age time.Duration, now time.Time) bool {
+	if m.Addr == v.self.Addr || m.Addr == "" {
 		return false
 	}
-	s.Add(m, false, now)
-	e := s.known[m.Addr]
-	if at := now.Add(-age); at.After(e.heard) {
-		e.heard = at
+	v.Add(m, false, now)
+	e := v.known[m.Addr]
+	if at := now.Add(-age); at.After(e.lastSeen) {
+		e.lastSeen = at
 	}
-	if e.live || now.Sub(e.heard) >= LiveFor {
+	if e.live || now.Sub(e.lastSeen) >= LiveTimeout {
 		return false
 	}
-	s.raise(e, now)
+	v.markLive(e, now)
 	return true
 }
 
-// HeardFrom notes a report of the router's own, and reports whether it was silent before.
-func (s *Spread) HeardFrom(m Member, now time.Time) bool {
-	found := s.Heard(m, 0, now)
-	if e := s.known[m.Addr]; e != nil {
-		s.directAt = now
-		e.direct = now
-		e.asked = time.Time{}
-		s.setMute(e, false)
+// ObserveDirect records a report that came from the router itself, and reports whether it was
+// silent before.
+func (v *View) ObserveDirect(m Member, now time.Time) bool {
+	revived := v.Observe(m, 0, now)
+	if e := v.known[m.Addr]; e != nil {
+		v.directAt = now
+		e.lastDirect = now
+		e.unansweredSince = time.Time{}
+		v.setUnresponsive(e, false)
 	}
-	return found
+	return revived
 }
 
-// raise makes a router live, and silence ends that.
-func (s *Spread) raise(e *entry, now time.Time) {
+// markLive marks a router as live.
+func (v *View) markLive(e *entry, now time.Time) {
 	e.live = true
-	e.since = now
-	if s.directAt.IsZero() {
-		s.directAt = now
+	e.liveSince = now
+	if v.directAt.IsZero() {
+		v.directAt = now
 	}
-	s.live++
-	s.centre(e.DataCentre).add(e)
-	s.changes.joined(e.Member)
+	v.liveCount++
+	v.centre(e.DataCentre).add(e)
+	v.changes.joined(e.Member)
 }
 
-func (s *Spread) silence(e *entry) {
+func (v *View) markSilent(e *entry) {
 	if !e.live {
 		return
 	}
 	e.live = false
-	e.asked = time.Time{}
-	s.live--
-	s.centre(e.DataCentre).remove(e)
-	s.changes.left(e.Member)
+	e.unansweredSince = time.Time{}
+	v.liveCount--
+	v.centre(e.DataCentre).remove(e)
+	v.changes.left(e.Member)
 }
 
-// setMute notes whether a router leaves this one without an answer.
-func (s *Spread) setMute(e *entry, mute bool) {
-	if e.mute == mute {
+// setUnresponsive sets whether a router leaves reports unanswered.
+func (v *View) setUnresponsive(e *entry, unresponsive bool) {
+	if e.unresponsive == unresponsive {
 		return
 	}
-	e.mute = mute
-	s.centre(e.DataCentre).unrank()
+	e.unresponsive = unresponsive
+	v.centre(e.DataCentre).invalidateRanking()
 }
 
-// Tick drops routers that have been silent for long, and returns those that have fallen silent
-// or leave this one without an answer.
-func (s *Spread) Tick(now time.Time) (lost []string) {
-	if now.Sub(s.ticked) < tickEvery {
+// Tick forgets routers that have been silent for long, and returns those that have become silent
+// or unresponsive.
+func (v *View) Tick(now time.Time) (lost []string) {
+	if now.Sub(v.lastScan) < scanInterval {
 		return nil
 	}
-	s.ticked = now
-	switch reporter := s.Reporter() && !s.Mesh(); {
+	v.lastScan = now
+	switch reporter := v.IsReporter() && !v.IsMesh(); {
 	case !reporter:
-		s.reporterSince = time.Time{}
-	case s.reporterSince.IsZero():
-		s.reporterSince = now
+		v.reporterSince = time.Time{}
+	case v.reporterSince.IsZero():
+		v.reporterSince = now
 	}
-	for addr, e := range s.known {
-		if e.live && s.isSilent(e, now) {
-			s.silence(e)
+	for addr, e := range v.known {
+		if e.live && v.isSilent(e, now) {
+			v.markSilent(e)
 			lost = append(lost, addr)
 		}
-		if !e.mute && !e.asked.IsZero() && now.Sub(later(e.direct, e.asked)) >= muteAfter {
-			s.setMute(e, true)
+		if !e.unresponsive && !e.unansweredSince.IsZero() && now.Sub(latest(e.lastDirect, e.unansweredSince)) >= unresponsiveAfter {
+			v.setUnresponsive(e, true)
 			lost = append(lost, addr)
 		}
-		if !e.live && now.Sub(e.heard) > forgetAfter && !e.seed {
-			delete(s.known, addr)
+		if !e.live && now.Sub(e.lastSeen) > forgetAfter && !e.seed {
+			delete(v.known, addr)
 		}
 	}
 	slices.Sort(lost)
 	return lost
 }
 
-// isSilent reports whether a live router has not been heard of for too long.
-func (s *Spread) isSilent(e *entry, now time.Time) bool {
+// isSilent reports whether the last report of a live router is too old.
+func (v *View) isSilent(e *entry, now time.Time) bool {
 	switch {
-	case s.Mesh():
-		return now.Sub(e.heard) >= LiveFor
-	case !s.reporterSince.IsZero() && e.DataCentre == s.self.DataCentre:
-		return now.Sub(later(later(e.direct, e.since), s.reporterSince)) >= LiveFor
+	case v.IsMesh():
+		return now.Sub(e.lastSeen) >= LiveTimeout
+	case !v.reporterSince.IsZero() && e.DataCentre == v.self.DataCentre:
+		return now.Sub(latest(latest(e.lastDirect, e.liveSince), v.reporterSince)) >= LiveTimeout
 	}
-	return now.Sub(later(e.heard, s.centre(e.DataCentre).confirmed)) >= vouchedFor
+	return now.Sub(latest(e.lastSeen, v.centre(e.DataCentre).confirmed)) >= relayedTimeout
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-// Live returns the other routers that count as live, in the order of their addresses.
-func (s *Spread) Live() []Member {
-	list := make([]Member, 0, s.live)
-	for _, e := range s.known {
+// Live returns the other live routers in order of their addresses.
+func (v *View) Live() []Member {
+	list := make([]Member, 0, v.liveCount)
+	for _, e := range v.known {
 		if e.live {
 			list = append(list, e.Member)
 		}
@@ -251,53 +252,53 @@
 	return list
 }
 
-// LiveCount returns how many others count as live.
-func (s *Spread) LiveCount() int { return s.live }
+// LiveCount returns the number of other live routers.
+func (v *View) LiveCount() int { return v.liveCount }
 
-// IsLive reports whether the router counts as live.
-func (s *Spread) IsLive(addr string) bool {
-	e := s.known[addr]
+// IsLive reports whether the router is live.
+func (v *View) IsLive(addr string) bool {
+	e := v.known[addr]
 	return e != nil && e.live
 }
 
-// Age returns how long ago the last report of a router came.
-func (s *Spread) Age(addr string, now time.Time) time.Duration {
-	if e := s.known[addr]; e != nil {
-		return now.Sub(e.heard)
+// Age returns the age of the last report of a router.
+func (v *View) Age(addr string, now time.Time) time.Duration {
+	if e := v.known[addr]; e != nil {
+		return now.Sub(e.lastSeen)
 	}
 	return forgetAfter
 }
 
-// SetFleet takes how many routers there are, as another one counts them.
-func (s *Spread) SetFleet(n int) { s.fleet = n }
+// SetFleetSize sets the fleet size according to a peer.
+func (v *View) SetFleetSize(n int) { v.reportedSize = n }
 
-// Count returns how many routers there are, this one and those that have been silent for a short
-// time included.
-func (s *Spread) Count() int { return max(len(s.known)+1, s.fleet) }
+// FleetSize returns the number of routers, including this one and those that have been silent only
+// for a short time.
+func (v *View) FleetSize() int { return max(len(v.known)+1, v.reportedSize) }
 
-// Fleet returns the addresses of the other routers that were ever heard of and are not
-// forgotten, and whether most of them are live.
-func (s *Spread) Fleet() (others []string, most bool) {
-	for addr, e := range s.known {
+// KnownRouters returns the addresses of the other routers that have been heard of and not
+// forgotten, and whether most of the fleet is live.
+func (v *View) KnownRouters() (others []string, most bool) {
+	for addr, e := range v.known {
 		if e.DataCentre != "" {
 			others = append(others, addr)
 		}
 	}
-	return others, 2*(s.live+1) > max(len(others)+1, s.fleet)
+	return others, 2*(v.liveCount+1) > max(len(others)+1, v.reportedSize)
 }
 
-// Pace is in how many ticks routers tell each other, a power of two.
-func (s *Spread) Pace() int {
-	pace := 1
-	for s.Count() > fullPaceMost*pace && pace < paceMost {
-		pace *= 2
+// ReportPeriod returns the number of ticks between reports, a power of two.
+func (v *View) ReportPeriod() int {
+	period := 1
+	for v.FleetSize() > maxFullRateFleet*period && period < maxReportPeriod {
+		period *= 2
 	}
-	return pace
+	return period
 }
 
-// Mesh reports whether each router tells each.
-func (s *Spread) Mesh() bool { return s.live+1 <= meshMost }
+// IsMesh reports whether every router reports to every other.
+func (v *View) IsMesh() bool { return v.liveCount+1 <= maxMeshSize }
 
-// Alone reports whether this router has heard no other one for so long that it has to do
-// without them.
-func (s *Spread) Alone(now time.Time) bool { return !s.Mesh() && now.Sub(s.directAt) >= LiveFor }
+// Isolated reports whether this router has not heard from any other for so long that it must
+// operate without them.
+func (v *View) Isolated(now time.Time) bool { return !v.IsMesh() && now.Sub(v.directAt) >= LiveTimeout }
--- a/internal/core/spread/targets.go
+++ b/internal/core/spread/targets.go
@@ -7,65 +7,65 @@
 )
 
 const (
-	// probeEvery is how often a silent router is told: it may be back. probesMost bounds how
-	// many are told at a time.
-	probeEvery = 2 * time.Second
-	probesMost = 8
+	// probeInterval is how often a silent router is sent a report, in case it is back. maxProbes
+	// limits how many are probed at a time.
+	probeInterval = 2 * time.Second
+	maxProbes     = 8
 )
 
-// Targets are the routers to tell something.
+// Targets lists the routers to send reports to.
 type Targets struct {
-	Own   []string // this router's own load
-	Sum   []string // the sum of this data centre
-	Total []string // the sum of the fleet
+	Own   []string // recipients of this router's own load
+	Sum   []string // recipients of the sum of this data centre
+	Total []string // recipients of the sum of the fleet
 }
 
-// Targets returns whom to tell at the moment. Silent routers are probed now and then with this
-// router's own load. turn counts the times at which the sum of this data centre is told: it
-// goes to one reporter of each other data centre, another each time, while this centre's other
-// reporter tells the other one.
-func (s *Spread) Targets(now time.Time, turn int) Targets {
+// Targets returns the current recipients. Silent routers are probed at intervals with this
+// router's own load. turn counts the reports of this data centre's sum. The sum goes to one
+// reporter of each other data centre and alternates between them with turn; this centre's two
+// reporters address different ones.
+func (v *View) Targets(now time.Time, turn int) Targets {
 	var t Targets
 	switch {
-	case s.Mesh():
-		for _, m := range s.Live() {
+	case v.IsMesh():
+		for _, m := range v.Live() {
 			t.Own = append(t.Own, m.Addr)
 		}
-	case s.Reporter():
-		t = s.reporterTargets(turn)
+	case v.IsReporter():
+		t = v.reporterTargets(turn)
 	default:
-		t.Own = s.Reporters(s.self.DataCentre)
+		t.Own = v.Reporters(v.self.DataCentre)
 	}
-	if !s.Mesh() {
-		s.ask(t.Own, now)
-		s.ask(t.Sum, now)
+	if !v.IsMesh() {
+		v.expectAnswers(t.Own, now)
+		v.expectAnswers(t.Sum, now)
 	}
-	t.Own = append(t.Own, s.probes(now)...)
+	t.Own = append(t.Own, v.dueProbes(now)...)
 	return t
 }
 
-// ask notes that routers are told from which an answer is to come.
-func (s *Spread) ask(addrs []string, now time.Time) {
+// expectAnswers records that routers get reports that they must answer.
+func (v *View) expectAnswers(addrs []string, now time.Time) {
 	for _, addr := range addrs {
-		if e := s.known[addr]; e != nil && e.asked.IsZero() && now.Sub(e.direct) >= muteAfter {
-			e.asked = now
+		if e := v.known[addr]; e != nil && e.unansweredSince.IsZero() && now.Sub(e.lastDirect) >= unresponsiveAfter {
+			e.unansweredSince = now
 		}
 	}
 }
 
-// reporterTargets returns whom a reporter tells.
-func (s *Spread) reporterTargets(turn int) Targets {
+// reporterTargets returns the recipients of a reporter's reports.
+func (v *View) reporterTargets(turn int) Targets {
 	var t Targets
-	mine := s.Reporters(s.self.DataCentre)
-	place := slices.Index(mine, s.self.Addr)
-	for _, name := range slices.Sorted(maps.Keys(s.centres)) {
-		if theirs := s.Reporters(name); name != s.self.DataCentre && len(theirs) > 0 {
-			t.Sum = append(t.Sum, theirs[(turn+place)%len(theirs)])
+	local := v.Reporters(v.self.DataCentre)
+	index := slices.Index(local, v.self.Addr)
+	for _, name := range slices.Sorted(maps.Keys(v.centres)) {
+		if remote := v.Reporters(name); name != v.self.DataCentre && len(remote) > 0 {
+			t.Sum = append(t.Sum, remote[(turn+index)%len(remote)])
 		}
 	}
-	for addr := range s.centre(s.self.DataCentre).members {
-		if slices.Contains(mine, addr) {
-			t.Own = append(t.Own, addr) // the other reporter sums up too
+	for addr := range v.centre(v.self.DataCentre).members {
+		if slices.Contains(local, addr) {
+			t.Own = append(t.Own, addr) // the other reporter computes the sum too
 		} else {
 			t.Total = append(t.Total, addr)
 		}
@@ -74,25 +74,24 @@
 	return t
 }
 
-// probes returns silent routers whose turn it is, and those that leave this one without an
-// answer.
-func (s *Spread) probes(now time.Time) []string {
+// dueProbes returns the silent and unresponsive routers that are due for a probe.
+func (v *View) dueProbes(now time.Time) []string {
 	var due []string
-	for addr, e := range s.known {
-		if (!e.live || e.mute) && now.Sub(e.probed) >= probeEvery {
+	for addr, e := range v.known {
+		if (!e.live || e.unresponsive) && now.Sub(e.lastProbe) >= probeInterval {
 			due = append(due, addr)
 		}
 	}
 	slices.Sort(due)
-	if len(due) > probesMost {
-		// The next ones in turn.
-		from, _ := slices.BinarySearch(due, s.probeAfter)
-		due = append(due[from:], due[:from]...)[:probesMost]
-		s.probeAfter = due[probesMost-1] + "\x00"
+	if len(due) > maxProbes {
+		// Continue in round-robin order.
+		from, _ := slices.BinarySearch(due, v.probeCursor)
+		due = append(due[from:], due[:from]...)[:maxProbes]
+		v.probeCursor = due[maxProbes-1] + "\x00"
 		slices.Sort(due)
 	}
 	for _, addr := range due {
-		s.known[addr].probed = now
+		v.known[addr].lastProbe = now
 	}
 	return due
 }
--- a/internal/edge/follow/follow.go
+++ b/internal/edge/follow/follow.go
@@ -53,7 +53,7 @@
 	ReadBlocked(ctx context.Context) ([]poison.Record, []platform.BadRow, error)
 	ReadRollout(ctx context.Context, service string) (platform.StoredRollout, error)
 	WriteRollout(ctx context.Context, r rollout.Record, ver uint64) (uint64, error)
-	WriteBlocked(ctx context.Context, write []poison.Record, remove []routing.Content) ([]poison.Record, []routing.Content, error)
+	WriteBlocked(ctx context.Context, write []poison.Record, remove []routing.ContentHash) ([]poison.Record, []routing.ContentHash, error)
 }
 
 // Follower follows the store.
@@ -173,7 +173,7 @@
 	}
 	for _, s := range c.Servers {
 		events.ServersChanged.Log(context.Background(), f.Log, slog.LevelInfo, "server", s.ID, "service", s.Service,
-			"ready", s.Takes(), "addr", s.Addr, "born", s.Born, "era", c.At.Era, "ver", c.At.Version)
+			"ready", s.AcceptsRequests(), "addr", s.Addr, "born", s.Born, "era", c.At.Era, "ver", c.At.Version)
 	}
 	for _, id := range c.Gone {
 		events.ServersChanged.Log(context.Background(), f.Log, slog.LevelInfo, "server", id, "gone", true, "era", c.At.Era, "ver", c.At.Version)
--- a/internal/edge/follow/follow_test.go
+++ b/internal/edge/follow/follow_test.go
@@ -169,7 +169,7 @@
 		f.put(1)
 		f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
 		f.state.TakeEra(1)
-		f.state.ServersToldBy(roster.Told{Servers: []routing.Server{{ID: "a", Service: "app", State: routing.ServerReady}}}, roster.Stamp{Era: 1, Version: 2})
+		f.state.ServersToldBy(roster.Snapshot{Servers: []routing.Server{{ID: "a", Service: "app", State: routing.ServerReady}}}, roster.Stamp{Era: 1, Version: 2})
 		f.state.CrashesRead()
 	})
 	f.store.Put("servers", "b", platformtest.Entry("app", "127.0.0.1:2", "ready"))
--- a/internal/edge/front/admit.go
+++ b/internal/edge/front/admit.go
@@ -40,14 +40,14 @@
 	if q.route == nil {
 		return unknown(http.StatusNotFound, "no route", age)
 	}
-	customer := table.Customer(q.ask.Key)
+	customer := table.Customer(q.ask.IdempotencyKey)
 	if customer == nil && !q.route.Public {
 		return unknown(http.StatusUnauthorized, "no customer has this key", age)
 	}
 	q.homes = q.route.Homes
 	if customer != nil {
 		q.customer = customer.Name
-		q.homes = q.homes.And(customer.Homes)
+		q.homes = q.homes.Intersect(customer.Homes)
 	}
 	q.limits = table.Config.Limits
 	if limits := q.limits; limits.MaxHeaderBytes > 0 && headerBytes(q.r) > limits.MaxHeaderBytes {
@@ -135,13 +135,13 @@
 }
 
 // timeLeft is the shorter of what the caller and the route allow.
-func timeLeft(route *routing.Route, ask routing.Ask) time.Duration {
+func timeLeft(route *routing.Route, ask routing.RequestMeta) time.Duration {
 	left := defaultTimeout
 	if route.Timeout > 0 {
 		left = route.Timeout
 	}
-	if ask.HasLeft {
-		left = min(left, ask.Left)
+	if ask.HasTimeLeft {
+		left = min(left, ask.TimeLeft)
 	}
 	return left
 }
--- a/internal/edge/front/backoff_test.go
+++ b/internal/edge/front/backoff_test.go
@@ -65,7 +65,7 @@
 	list, _ := r.state.Servers()
 	r.state.ServersChanged(nil, []string{s.ID}, roster.Stamp{Version: 2})
 	r.state.ServersChanged(list, nil, roster.Stamp{Version: 3})
-	r.state.ServersToldBy(roster.Told{Servers: list}, roster.Stamp{Version: 4})
+	r.state.ServersToldBy(roster.Snapshot{Servers: list}, roster.Stamp{Version: 4})
 	time.Sleep(busyExpiry)
 	for range 30 {
 		assert.Equal(t, r.call(context.Background(), "GET", "/r/x", "k", "").status, 200)
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -26,16 +26,16 @@
 // Headers translates the headers of callers and servers. The platform's folder
 // implements it.
 type Headers interface {
-	Ask(h http.Header) routing.Ask
+	Ask(h http.Header) routing.RequestMeta
 	// ToServer sets what the fleet itself says to a server.
-	ToServer(h http.Header, o routing.Order)
+	ToServer(h http.Header, o routing.ForwardMeta)
 	// Answer reads a server's answer: notRun that the request has not run and
 	// never will, other that another server has the address, attempt the
 	// caller's id of the attempt that it belongs to.
 	Answer(status int, h http.Header) (notRun, other bool, attempt string)
 	// Notice parses the headers of an answer that describe the server itself. Values that
 	// can't be parsed are left zero, and an error is returned.
-	Notice(status int, h http.Header) (routing.Notice, error)
+	Notice(status int, h http.Header) (routing.ServerNotice, error)
 	// ToCaller names the attempt in an answer of the fleet's own.
 	ToCaller(h http.Header, attempt string)
 }
@@ -124,10 +124,10 @@
 	h        *Handler
 	w        http.ResponseWriter
 	r        *http.Request
-	ask      routing.Ask
+	ask      routing.RequestMeta
 	route    *routing.Route
 	customer string
-	homes    routing.Homes // of the route and the customer
+	homes    routing.Regions // of the route and the customer
 	service  string
 	version  int64 // of the configuration that decided
 	limits   routing.Limits
@@ -137,7 +137,7 @@
 	header   http.Header     // what goes on to servers
 	routine  bool            // its routine lines are written
 	admitted bool            // its listener has admitted it
-	content  routing.Content // 0: not worked out yet
+	content  routing.ContentHash // 0: not worked out yet
 
 	tried   []string
 	sent    int  // servers that the request may have reached
@@ -187,9 +187,9 @@
 
 // asks returns the request's content. It is worked out when it is first asked for: most
 // requests never need it, and bodies are long.
-func (q *request) asks() routing.Content {
+func (q *request) asks() routing.ContentHash {
 	if q.content == 0 {
-		q.content = routing.ContentOf(q.customer, q.r.Method, q.r.Host, target(q.r), q.body)
+		q.content = routing.HashContent(q.customer, q.r.Method, q.r.Host, target(q.r), q.body)
 	}
 	return q.content
 }
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -384,7 +384,7 @@
 	assert.Equal(t, a.status, 503)
 	assert.Equal(t, len(runs(engines)), 0)
 	assert.Assert(t, strings.Contains(r.log.String(), "behind its work"))
-	assert.Assert(t, r.state.Report().Rates["ana"].Asked > 0, "the fleet knows that the customer asked: %v", r.state.Report().Rates)
+	assert.Assert(t, r.state.Report().Rates["ana"].Demand > 0, "the fleet knows that the customer asked: %v", r.state.Report().Rates)
 
 	r.wait.Store(0)
 	plain[0].Fail(func(string) platformtest.Fault {
--- a/internal/edge/front/leaving_test.go
+++ b/internal/edge/front/leaving_test.go
@@ -79,7 +79,7 @@
 	r.state.ServersReplaced(list, roster.Stamp{Version: 2}, true)
 	r.state.ServersChanged(nil, []string{leaving.ID}, roster.Stamp{Version: 3})
 	r.state.ServersChanged(list, nil, roster.Stamp{Version: 4})
-	r.state.ServersToldBy(roster.Told{Servers: list}, roster.Stamp{Version: 5})
+	r.state.ServersToldBy(roster.Snapshot{Servers: list}, roster.Stamp{Version: 5})
 	for range 30 {
 		assert.Equal(t, r.call(context.Background(), "GET", "/r/x", "k", "").status, 200)
 	}
--- a/internal/edge/front/notice_test.go
+++ b/internal/edge/front/notice_test.go
@@ -34,7 +34,7 @@
 // malformedLeaving puts an invalid Server-Leaving value into every answer.
 type malformedLeaving struct{ platform.Headers }
 
-func (m malformedLeaving) Notice(status int, h http.Header) (routing.Notice, error) {
+func (m malformedLeaving) Notice(status int, h http.Header) (routing.ServerNotice, error) {
 	h.Set("Server-Leaving", "soon")
 	return m.Headers.Notice(status, h)
 }
--- a/internal/edge/front/run.go
+++ b/internal/edge/front/run.go
@@ -133,7 +133,7 @@
 		Back:   p.Back,
 		inputs: []any{
 			"server", p.Choice.Server.ID, "waitMs", p.Choice.Wait.Milliseconds(), "ownMs", p.Choice.Own.Milliseconds(),
-			"candidates", p.Choice.Candidates, "asked", int64(p.Rates.Asked), "served", int64(p.Rates.Served),
+			"candidates", p.Choice.Candidates, "asked", int64(p.Rates.Demand), "served", int64(p.Rates.Served),
 			"share", int64(min(p.Level, math.MaxInt32)),
 		},
 	}
@@ -182,12 +182,12 @@
 	if q.header == nil {
 		q.header = upstream.EndToEnd(q.r.Header)
 	}
-	q.h.Headers.ToServer(q.header, routing.Order{
-		Left:     q.remaining(),
+	q.h.Headers.ToServer(q.header, routing.ForwardMeta{
+		TimeLeft:     q.remaining(),
 		ServerID: p.Choice.Server.ID,
 		Customer: q.customer,
-		After:    q.last,
-		FetchAt:  p.Choice.FetchAt,
+		LastEventID:    q.last,
+		FetchFrom:  p.Choice.FetchAt,
 	})
 	return upstream.Call{
 		Server:   p.Choice.Server.Identity(),
--- a/internal/edge/front/sending_test.go
+++ b/internal/edge/front/sending_test.go
@@ -26,7 +26,7 @@
 	do func(server string)
 }
 
-func (a afterChoice) ToServer(h http.Header, o routing.Order) {
+func (a afterChoice) ToServer(h http.Header, o routing.ForwardMeta) {
 	a.do(o.ServerID)
 	a.Headers.ToServer(h, o)
 }
--- a/internal/edge/node/account.go
+++ b/internal/edge/node/account.go
@@ -32,9 +32,9 @@
 	refused, closed := n.limiter.refused.Load(), n.limiter.closed.Load()
 	for _, c := range n.state.TakeAccounts(accountMost) {
 		events.CustomerRefused.Log(ctx, n.log, slog.LevelInfo, "customer", c.Customer,
-			"asked", int64(c.Asked), "hostLoad", int64(c.HostLoad), "overShare", int64(c.OverShare), "noRoom", int64(c.NoRoom),
-			"placed", int64(c.Placed), "begun", int64(c.Begun), "takenBack", int64(c.TakenBack),
-			"fleetAsked", int64(c.Rates.Asked), "fleetServed", int64(c.Rates.Served), "share", int64(min(c.Level, math.MaxInt32)),
+			"asked", int64(c.Requested), "hostLoad", int64(c.HostOverload), "overShare", int64(c.OverShare), "noRoom", int64(c.NoCapacity),
+			"placed", int64(c.Placed), "begun", int64(c.Started), "takenBack", int64(c.Reverted),
+			"fleetAsked", int64(c.Rates.Demand), "fleetServed", int64(c.Rates.Served), "share", int64(min(c.Level, math.MaxInt32)),
 			"standing", c.Standing.String(), "processorWaitMs", n.probe.Wait().Milliseconds(), "running", n.handler.Running(),
 			"connections", n.limiter.open.Load(), "connectionsRefused", refused-a.refused, "connectionsClosed", closed-a.closed)
 	}
--- a/internal/edge/peers/crashes.go
+++ b/internal/edge/peers/crashes.go
@@ -14,7 +14,7 @@
 // contentCrashes is what a report tells of a content under which servers crashed: 30 bytes with two crashes.
 type contentCrashes struct {
 	_        struct{} `cbor:",toarray"`
-	Content  routing.Content
+	Content  routing.ContentHash
 	Ends     []serverCrash
 	WorkedMs int64 // how long ago there was a complete response, rounded up; 0: there was none
 	Stored   bool
@@ -78,5 +78,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	live := p.spread.LiveCount()
-	return live == 0 || 2*(live+1) < p.spread.Count()
+	return live == 0 || 2*(live+1) < p.spread.FleetSize()
 }
--- a/internal/edge/peers/crashes_test.go
+++ b/internal/edge/peers/crashes_test.go
@@ -14,7 +14,7 @@
 )
 
 // ends are what a router tells of a content under which n servers crashed, one each second.
-func ends(c routing.Content, n int) []contentCrashes {
+func ends(c routing.ContentHash, n int) []contentCrashes {
 	w := contentCrashes{Content: c}
 	for i := range n {
 		w.Ends = append(w.Ends, serverCrash{Server: routing.ServerKey(i + 1), RanMs: 60, AgeMs: int64(1000 * (n - i))})
@@ -50,7 +50,7 @@
 	p := lone(t, func() time.Time { return now }, noWait)
 	var told []contentCrashes
 	for c := range 8 {
-		told = append(told, ends(routing.Content(0xffffffffffffff00+uint64(c)), 1)...)
+		told = append(told, ends(routing.ContentHash(0xffffffffffffff00+uint64(c)), 1)...)
 	}
 	text, err := cbor.Marshal(told)
 	assert.NilError(t, err)
--- a/internal/edge/peers/era_test.go
+++ b/internal/edge/peers/era_test.go
@@ -50,7 +50,7 @@
 	p.take(heartbeat{Control: "127.0.0.40:1", DataCentre: "dc", Version: 5, Era: 2, List: 40, FollowedMs: 60_000}, clock)
 	assert.Assert(t, p.State.ServersReplaced(nil, roster.Stamp{Era: 2, Version: 40}, true))
 	assert.Equal(t, p.State.ServerCount(), 2)
-	clock = clock.Add(roster.ReturnGrace - time.Millisecond)
+	clock = clock.Add(roster.RecoveryGrace - time.Millisecond)
 	p.State.Tick()
 	p.take(heartbeat{Control: "127.0.0.40:1", DataCentre: "dc", Version: 5, Era: 2, List: 40, FollowedMs: 1}, clock)
 	assert.Equal(t, p.State.ServerCount(), 2)
--- a/internal/edge/peers/golden_test.go
+++ b/internal/edge/peers/golden_test.go
@@ -177,7 +177,7 @@
 	golden.Check(t, "older-view.cbor", cbor.Marshal, cbor.Unmarshal, olderView{
 		Raw:   []byte{48, 2, 3},
 		Stamp: roster.Stamp{Era: 249, Version: 250, Edits: 251},
-		Told: roster.Told{Servers: []routing.Server{routing.Server{
+		Snapshot: roster.Snapshot{Servers: []routing.Server{routing.Server{
 			ID:           "s255",
 			Born:         256,
 			Service:      "s257",
@@ -217,7 +217,7 @@
 		EvacuationsAs: roster.Stamp{Era: 309, Version: 310, Edits: 311},
 		AllEnds:       true,
 	})
-	golden.Check(t, "older-list.json", json.Marshal, json.Unmarshal, olderList{Stamp: roster.Stamp{Era: 315, Version: 316, Edits: 317}, Told: roster.Told{Servers: []routing.Server{routing.Server{
+	golden.Check(t, "older-list.json", json.Marshal, json.Unmarshal, olderList{Stamp: roster.Stamp{Era: 315, Version: 316, Edits: 317}, Snapshot: roster.Snapshot{Servers: []routing.Server{routing.Server{
 		ID:           "s321",
 		Born:         322,
 		Service:      "s323",
--- a/internal/edge/peers/heartbeat.go
+++ b/internal/edge/peers/heartbeat.go
@@ -214,7 +214,7 @@
 		r.Loads[key] = l
 	}
 	for name, v := range w.Rates {
-		r.Rates[name] = fair.Rates{Asked: float64(v[0] * rateUnit), Served: float64(v[1] * rateUnit)}
+		r.Rates[name] = fair.Rates{Demand: float64(v[0] * rateUnit), Served: float64(v[1] * rateUnit)}
 	}
 	r.Sent = w.Sent
 	if w.Light != nil {
@@ -337,7 +337,7 @@
 	names := slices.Collect(maps.Keys(rates))
 	if len(names) > ratesMost {
 		slices.SortFunc(names, func(a, b string) int {
-			return cmp.Or(cmp.Compare(rates[b].Asked, rates[a].Asked), cmp.Compare(a, b))
+			return cmp.Or(cmp.Compare(rates[b].Demand, rates[a].Demand), cmp.Compare(a, b))
 		})
 		stats.leaveOut(partRates, len(names)-ratesMost)
 		names = names[:ratesMost]
@@ -345,6 +345,6 @@
 	w.Rates = make(map[string][2]int64, len(names))
 	for _, name := range names {
 		v := rates[name]
-		w.Rates[name] = [2]int64{units(int64(v.Asked), rateUnit), units(int64(v.Served), rateUnit)}
+		w.Rates[name] = [2]int64{units(int64(v.Demand), rateUnit), units(int64(v.Served), rateUnit)}
 	}
 }
--- a/internal/edge/peers/join.go
+++ b/internal/edge/peers/join.go
@@ -216,7 +216,7 @@
 func (p *Peers) takeHello(w heartbeat, now time.Time) {
 	has := p.hasView() == nil
 	p.mu.Lock()
-	p.spread.HeardFrom(w.sender(), now)
+	p.spread.ObserveDirect(w.sender(), now)
 	var sources []string
 	if has {
 		sources = p.sourcesFor(w, now)
@@ -281,7 +281,7 @@
 	if p.join == nil {
 		return
 	}
-	p.spread.SetFleet(w.Fleet)
+	p.spread.SetFleetSize(w.Fleet)
 	p.join.Answered(join.Offer{From: w.Control, HasView: w.Version != 0 && w.List != 0, Sources: w.Sources}, now)
 }
 
@@ -371,7 +371,7 @@
 	p.mu.Lock()
 	for _, l := range v.Routers {
 		for _, m := range l.unpack() {
-			p.spread.Heard(m, took, now)
+			p.spread.Observe(m, took, now)
 		}
 	}
 	p.mu.Unlock()
@@ -387,7 +387,7 @@
 type view struct {
 	config      *routing.Config
 	raw         []byte
-	servers     roster.Told
+	servers     roster.Snapshot
 	as          roster.Stamp
 	age         time.Duration // of the store's last answer on which it rests
 	evacuated   evacuation.Told
--- a/internal/edge/peers/join_test.go
+++ b/internal/edge/peers/join_test.go
@@ -38,7 +38,7 @@
 	a.know(t, 5)
 	a.peers.mu.Lock()
 	for i := range 20 {
-		a.peers.spread.Heard(spread.Member{Addr: fmt.Sprintf("127.0.1.%d:1", i), DataCentre: "dc", Cores: 0.8}, 0, time.Now())
+		a.peers.spread.Observe(spread.Member{Addr: fmt.Sprintf("127.0.1.%d:1", i), DataCentre: "dc", Cores: 0.8}, 0, time.Now())
 	}
 	a.peers.mu.Unlock()
 	b := starting(t, "127.0.0.45", control, udp, false, "127.0.0.45:1", a.peers.Self.Addr)
--- a/internal/edge/peers/lists.go
+++ b/internal/edge/peers/lists.go
@@ -145,7 +145,7 @@
 }
 
 // packTold puts what a whole list or changes tell into what is sent.
-func (c *listChange) packTold(t roster.Told) {
+func (c *listChange) packTold(t roster.Snapshot) {
 	c.Servers = packServers(t.Servers)
 	c.Held = inMillis(t.Held)
 	var doubtful []routing.Server
@@ -157,8 +157,8 @@
 }
 
 // told is the other way.
-func (c *listChange) told() roster.Told {
-	t := roster.Told{Servers: c.Servers.unpack(), Held: ofMillis(c.Held, 0)}
+func (c *listChange) told() roster.Snapshot {
+	t := roster.Snapshot{Servers: c.Servers.unpack(), Held: ofMillis(c.Held, 0)}
 	for i, s := range c.Doubtful.unpack() {
 		if i < len(c.Left) {
 			t.Doubtful = append(t.Doubtful, roster.Doubtful{Server: s, Left: time.Duration(c.Left[i]) * time.Millisecond})
@@ -167,20 +167,20 @@
 	return t
 }
 
-func packWhole(t roster.Told, as roster.Stamp) listChange {
+func packWhole(t roster.Snapshot, as roster.Stamp) listChange {
 	c := listChange{Whole: true, As: as}
 	c.packTold(t)
 	return c
 }
 
 func packDelta(d roster.Delta) listChange {
-	c := listChange{From: d.From, As: d.As, Gone: d.Gone, Gaps: d.Gaps}
-	c.packTold(d.Told)
+	c := listChange{From: d.From, As: d.To, Gone: d.Removed, Gaps: d.Gaps}
+	c.packTold(d.Snapshot)
 	return c
 }
 
 func (c *listChange) delta() roster.Delta {
-	return roster.Delta{From: c.From, As: c.As, Told: c.told(), Gone: c.Gone, Gaps: c.Gaps}
+	return roster.Delta{From: c.From, To: c.As, Snapshot: c.told(), Removed: c.Gone, Gaps: c.Gaps}
 }
 
 // memberList is the routers of one data centre on their way, some 20 bytes for each.
--- a/internal/edge/peers/older.go
+++ b/internal/edge/peers/older.go
@@ -26,7 +26,7 @@
 type olderView struct {
 	Raw   []byte
 	Stamp roster.Stamp
-	roster.Told
+	roster.Snapshot
 	AgeMs         int64
 	Routers       []knownRouter
 	Ends          []contentCrashes
@@ -38,7 +38,7 @@
 // olderList is its list of servers.
 type olderList struct {
 	Stamp roster.Stamp
-	roster.Told
+	roster.Snapshot
 }
 
 // giveOlderView gives this router's view.
@@ -49,7 +49,7 @@
 	now := p.Now()
 	_, age := p.State.Table()
 	v := olderView{Raw: p.State.Raw(), AgeMs: age.Milliseconds(), Ends: wireCrashes(p.State.RepeatCrashes()), AllEnds: p.State.KnowsCrashes()}
-	v.Told, v.Stamp = p.State.ServersTold()
+	v.Snapshot, v.Stamp = p.State.ServersTold()
 	v.Evacuations, v.EvacuationsAs = p.State.EvacuationsTold()
 	p.mu.Lock()
 	v.Routers = append(p.known(now).all, knownRouter{Addr: p.Self.Addr, DataCentre: p.Self.DataCentre, Cores: p.Self.Cores})
@@ -70,11 +70,11 @@
 	now := p.Now()
 	p.mu.Lock()
 	for _, k := range v.Routers {
-		p.spread.Heard(spread.Member{Addr: k.Addr, DataCentre: k.DataCentre, Cores: k.Cores}, k.age()+took, now)
+		p.spread.Observe(spread.Member{Addr: k.Addr, DataCentre: k.DataCentre, Cores: k.Cores}, k.age()+took, now)
 	}
 	p.mu.Unlock()
 	p.putInForce(view{
-		config: c, raw: v.Raw, servers: v.Told, as: v.Stamp, age: time.Duration(v.AgeMs)*time.Millisecond + took,
+		config: c, raw: v.Raw, servers: v.Snapshot, as: v.Stamp, age: time.Duration(v.AgeMs)*time.Millisecond + took,
 		evacuated: v.Evacuations, evacuatedAs: v.EvacuationsAs, crashes: readCrashes(v.Ends, took), allEnds: v.AllEnds,
 	})
 	return nil
@@ -83,7 +83,7 @@
 // giveOlderList gives the whole list of servers.
 func (p *Peers) giveOlderList() given {
 	list, stamp := p.State.ServersTold()
-	return p.giveText(json.Marshal(olderList{Stamp: stamp, Told: list}))
+	return p.giveText(json.Marshal(olderList{Stamp: stamp, Snapshot: list}))
 }
 
 // fetchOlderList fetches such a list.
@@ -98,6 +98,6 @@
 			events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelWarn, "peer", from, "err", err)
 			return
 		}
-		p.takeListChange(from, packWhole(v.Told, v.Stamp))
+		p.takeListChange(from, packWhole(v.Snapshot, v.Stamp))
 	})
 }
--- a/internal/edge/peers/peers.go
+++ b/internal/edge/peers/peers.go
@@ -93,7 +93,7 @@
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	spread  *spread.Spread
+	spread  *spread.View
 	views   map[string]*peer
 	reports map[string]heardReport // by sender: loads of this data centre's routers, sums of others
 	ticks   int
@@ -160,7 +160,7 @@
 func (p *Peers) Registers() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.spread.Mesh() || p.spread.Reporter()
+	return p.spread.IsMesh() || p.spread.IsReporter()
 }
 
 // Live returns how many other routers were heard of lately.
@@ -174,7 +174,7 @@
 func (p *Peers) IsReader() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.spread.Mesh() && p.spread.Reader()
+	return !p.spread.IsMesh() && p.spread.IsReader()
 }
 
 // Role says how this router follows the store. One that is told by others does
@@ -186,9 +186,9 @@
 	switch {
 	case p.join != nil:
 		return follow.Informed
-	case p.spread.Mesh() || p.spread.Alone(p.Now()):
+	case p.spread.IsMesh() || p.spread.Isolated(p.Now()):
 		return follow.Everyone
-	case p.spread.Reader() || p.spread.StandsIn(age-p.reportOld()):
+	case p.spread.IsReader() || p.spread.IsFallbackReader(age-p.reportOld()):
 		return follow.Reader
 	}
 	return follow.Informed
@@ -197,7 +197,7 @@
 // reportOld is the age of the last answer of the store above which a router does not rely on
 // the readers; the lock is held.
 func (p *Peers) reportOld() time.Duration {
-	return reportOld + time.Duration(hops*(p.spread.Pace()-1))*reportEvery
+	return reportOld + time.Duration(hops*(p.spread.ReportPeriod()-1))*reportEvery
 }
 
 // Run tells the peers of this router and fetches what they have newer, until ctx
@@ -245,8 +245,8 @@
 func (p *Peers) endStep() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.step = p.spread.Pace()
-	if p.spread.Mesh() || p.spread.Reporter() {
+	p.step = p.spread.ReportPeriod()
+	if p.spread.IsMesh() || p.spread.IsReporter() {
 		p.step = 1
 	}
 	return time.Duration(p.step) * reportEvery
--- a/internal/edge/peers/peers_test.go
+++ b/internal/edge/peers/peers_test.go
@@ -222,7 +222,7 @@
 		<-r.Context().Done()
 	})
 	mux.HandleFunc(pathChanges, func(w http.ResponseWriter, _ *http.Request) {
-		text, err := cbor.Marshal(packWhole(roster.Told{Servers: []routing.Server{{ID: "x", Service: "app"}}}, roster.Stamp{Version: 9}))
+		text, err := cbor.Marshal(packWhole(roster.Snapshot{Servers: []routing.Server{{ID: "x", Service: "app"}}}, roster.Stamp{Version: 9}))
 		assert.Check(t, err)
 		_, _ = w.Write(text)
 	})
--- a/internal/edge/peers/pending.go
+++ b/internal/edge/peers/pending.go
@@ -108,8 +108,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.spread.Mesh() && p.spread.Reporter() {
-		p.pending.keep(k, u, p.spread.FirstReporter())
+	if !p.spread.IsMesh() && p.spread.IsReporter() {
+		p.pending.keep(k, u, p.spread.IsFirstReporter())
 	}
 }
 
@@ -127,7 +127,7 @@
 func (p *Peers) takePending(own updates, out, in bool) (outward, inward updates) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pending.keep(kindOwn, own, p.spread.FirstReporter())
+	p.pending.keep(kindOwn, own, p.spread.IsFirstReporter())
 	if out {
 		outward, p.pending.outward = p.pending.outward, newUpdates()
 	}
--- a/internal/edge/peers/pending_test.go
+++ b/internal/edge/peers/pending_test.go
@@ -25,7 +25,7 @@
 	for i := range 20 {
 		p.take(heartbeat{Control: fmt.Sprintf("127.0.0.%d:1", 60+i), DataCentre: []string{"dc", "far"}[i%2], Version: 1, Cores: float64(2 + i/18)}, now)
 	}
-	assert.Assert(t, !p.spread.Mesh() && p.spread.Reporter())
+	assert.Assert(t, !p.spread.IsMesh() && p.spread.IsReporter())
 	return p
 }
 
@@ -78,7 +78,7 @@
 			cores = 9
 		}
 		p := reporter(t, now, cores)
-		assert.Equal(t, p.spread.FirstReporter(), first)
+		assert.Equal(t, p.spread.IsFirstReporter(), first)
 		p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Firsts: seen}, now)
 		p.take(heartbeat{Control: "127.0.0.61:1", DataCentre: "far", Kind: kindSum, Firsts: seen}, now)
 		out, in := p.takePending(updates{}, true, true)
@@ -103,7 +103,7 @@
 		r.Loads[routing.Identity{ID: fmt.Sprintf("i-%08x", i*77777)}.Key()] = pick.Load{Waiting: int64(2000 + 91*i), Memory: int64(60000 + 997*i), Running: 10 + i%50}
 	}
 	for i := range 60 {
-		r.Rates[fmt.Sprintf("cust%03d", i)] = fair.Rates{Asked: 60000, Served: 59000}
+		r.Rates[fmt.Sprintf("cust%03d", i)] = fair.Rates{Demand: 60000, Served: 59000}
 	}
 	text, err := cbor.Marshal(p.heartbeat(kindSum, r, nil))
 	assert.NilError(t, err)
--- a/internal/edge/peers/publish.go
+++ b/internal/edge/peers/publish.go
@@ -38,7 +38,7 @@
 // publish sends this router's reports, if it is time for them.
 func (p *Peers) publish(now time.Time) {
 	p.mu.Lock()
-	if !p.every(p.spread.Pace()) {
+	if !p.every(p.spread.ReportPeriod()) {
 		p.mu.Unlock()
 		return
 	}
@@ -91,11 +91,11 @@
 	r := round{
 		to:     p.spread.Targets(now, p.sums),
 		lost:   lost,
-		mesh:   p.spread.Mesh(),
+		mesh:   p.spread.IsMesh(),
 		repeat: p.every(headsEvery),
 		rates:  p.every(ratesEvery),
 		sums:   p.sum(now),
-		count:  p.spread.Count(),
+		count:  p.spread.FleetSize(),
 	}
 	if r.repeat {
 		r.fleet, r.trusted = p.fleet(now)
@@ -142,7 +142,7 @@
 			w.Digests = map[string]spread.Digest{}
 		}
 		w.Digests[name] = d
-		of := r.changes.Of(name)
+		of := r.changes.In(name)
 		w.Joined = append(w.Joined, knownOf(of.Joined)...)
 		w.Left = append(w.Left, knownOf(of.Left)...)
 	}
@@ -152,7 +152,7 @@
 // fleet returns the other routers, and whether they are known well enough to share permits
 // out among all. The lock is held.
 func (p *Peers) fleet(now time.Time) (others []string, trusted bool) {
-	others, most := p.spread.Fleet()
+	others, most := p.spread.KnownRouters()
 	if p.began.IsZero() {
 		p.began = now
 	}
@@ -170,7 +170,7 @@
 	s := sums{centre: state.NewReport(), others: state.NewReport()}
 	for key, r := range p.reports {
 		switch {
-		case now.Sub(r.at) >= spread.LiveFor:
+		case now.Sub(r.at) >= spread.LiveTimeout:
 			delete(p.reports, key)
 		case r.kind == kindOwn:
 			s.centre.Add(r.report)
@@ -183,7 +183,7 @@
 
 // heads are the first routers in the ranking of each data centre; the lock is held.
 func (p *Peers) heads(now time.Time) (list []knownRouter) {
-	for _, v := range p.spread.Heads(now) {
+	for _, v := range p.spread.TopRanked(now) {
 		list = append(list, knownRouter{Addr: v.Addr, DataCentre: v.DataCentre, Cores: v.Cores, AgeMs: v.Age.Milliseconds()})
 	}
 	return list
@@ -207,14 +207,14 @@
 // names those only that its receivers can't hear better from another. The lock is held.
 func (p *Peers) known(now time.Time) vouched {
 	var v vouched
-	mesh := p.spread.Mesh()
+	mesh := p.spread.IsMesh()
 	for _, m := range p.spread.Live() {
 		k := knownRouter{Addr: m.Addr, DataCentre: m.DataCentre, Cores: m.Cores, AgeMs: p.spread.Age(m.Addr, now).Milliseconds()}
 		v.all = append(v.all, k)
 		if m.DataCentre == p.Self.DataCentre {
 			v.centre = append(v.centre, k)
 		}
-		if q := p.views[m.Addr]; mesh || q != nil && now.Sub(q.heard) < spread.LiveFor {
+		if q := p.views[m.Addr]; mesh || q != nil && now.Sub(q.heard) < spread.LiveTimeout {
 			v.own = append(v.own, k)
 		}
 	}
--- a/internal/edge/peers/pull.go
+++ b/internal/edge/peers/pull.go
@@ -152,7 +152,7 @@
 			continue
 		}
 		near := q.dataCentre == p.Self.DataCentre
-		if !near && now.Sub(q.ahead) < pullAfter && p.State.Ready() && !p.spread.Mesh() {
+		if !near && now.Sub(q.ahead) < pullAfter && p.State.Ready() && !p.spread.IsMesh() {
 			continue // it may be on its way
 		}
 		fresher := old < freshest || old == freshest && addr < best
--- a/internal/edge/peers/push.go
+++ b/internal/edge/peers/push.go
@@ -43,7 +43,7 @@
 // that follows the store in those that have none which does.
 func (p *Peers) push(now time.Time) {
 	p.mu.Lock()
-	if p.spread.Mesh() || !p.spread.Reporter() || !p.every(pushEvery) {
+	if p.spread.IsMesh() || !p.spread.IsReporter() || !p.every(pushEvery) {
 		p.mu.Unlock()
 		return
 	}
@@ -133,7 +133,7 @@
 
 // tell returns the changes to tell: the new ones and those before.
 func (m *memberSync) tell(fresh spread.Changes, _ time.Time) spread.Changes {
-	all := m.told.Plus(fresh)
+	all := m.told.Merge(fresh)
 	m.told = fresh
 	return all
 }
--- a/internal/edge/peers/receive.go
+++ b/internal/edge/peers/receive.go
@@ -61,7 +61,7 @@
 	p.takeChanges(w)
 	version, stamp := p.State.Version(), p.State.Stamp()
 	p.mu.Lock()
-	found := p.spread.HeardFrom(w.sender(), now)
+	found := p.spread.ObserveDirect(w.sender(), now)
 	p.takeRouters(w, now)
 	p.view(w, version, stamp.After(w.stamp()) || stamp == w.stamp(), now)
 	use := p.use(w)
@@ -128,26 +128,26 @@
 		p.older = now
 	}
 	for _, k := range w.Known {
-		p.spread.Heard(k.member(), k.age(), now)
+		p.spread.Observe(k.member(), k.age(), now)
 	}
 	if !p.leads(w) {
 		return
 	}
 	if w.Kind == kindTotal {
-		p.spread.SetFleet(w.Fleet)
+		p.spread.SetFleetSize(w.Fleet)
 	}
-	p.spread.TakeTold(spread.Changes{Joined: membersOf(w.Joined), Left: membersOf(w.Left)}, now)
-	p.members.compare(w.Control, w.Digests, p.spread.Digests(), p.spread.Compare(w.Digests, now), now)
+	p.spread.ApplyChanges(spread.Changes{Joined: membersOf(w.Joined), Left: membersOf(w.Left)}, now)
+	p.members.compare(w.Control, w.Digests, p.spread.Digests(), p.spread.CompareDigests(w.Digests, now), now)
 }
 
 // leads reports whether the heartbeat's sender is the one whose lists of routers this router
 // follows: the first of its data centre's reporters that it hears, or for a reporter the first one
 // of the other data centre. The lock is held.
 func (p *Peers) leads(w heartbeat) bool {
-	if p.spread.Mesh() || len(w.Digests) == 0 {
+	if p.spread.IsMesh() || len(w.Digests) == 0 {
 		return false
 	}
-	reporter := p.spread.Reporter()
+	reporter := p.spread.IsReporter()
 	switch {
 	case w.Kind == kindTotal && (reporter || w.DataCentre != p.Self.DataCentre):
 		return false
@@ -163,11 +163,11 @@
 // owesAnswer reports whether the sender expects to hear of this router, which would not tell it by
 // itself; the lock is held.
 func (p *Peers) owesAnswer(w heartbeat, now time.Time) bool {
-	if w.Kind != kindOwn || w.Answer || p.spread.Mesh() || w.Protocol < protocol {
+	if w.Kind != kindOwn || w.Answer || p.spread.IsMesh() || w.Protocol < protocol {
 		return false
 	}
 	near := w.DataCentre == p.Self.DataCentre
-	if near && (p.spread.Reporter() || contains(p.spread.Reporters(w.DataCentre), w.Control)) {
+	if near && (p.spread.IsReporter() || contains(p.spread.Reporters(w.DataCentre), w.Control)) {
 		return false
 	}
 	q := p.views[w.Control]
@@ -182,7 +182,7 @@
 func (p *Peers) answer(to string, sources []string) {
 	p.mu.Lock()
 	heads := p.heads(p.Now())
-	count := p.spread.Count()
+	count := p.spread.FleetSize()
 	p.mu.Unlock()
 	w := p.heartbeat(kindOwn, state.NewReport(), heads)
 	w.Answer = true
@@ -239,7 +239,7 @@
 		return true
 	}
 	told := w.Kind == kindTotal || w.Kind == kindUpdate && w.DataCentre == p.Self.DataCentre
-	return told && !p.spread.Reporter()
+	return told && !p.spread.IsReporter()
 }
 
 // view notes what the peer says of its view, and whether this router's list is as new; the lock is
@@ -286,8 +286,8 @@
 	if w.Answer {
 		return useNone
 	}
-	mesh := p.spread.Mesh()
-	reporter := p.spread.Reporter()
+	mesh := p.spread.IsMesh()
+	reporter := p.spread.IsReporter()
 	switch w.Kind {
 	case kindOwn:
 		if mesh || reporter && w.DataCentre == p.Self.DataCentre {
--- a/internal/edge/state/account.go
+++ b/internal/edge/state/account.go
@@ -9,7 +9,7 @@
 	fair.Account
 	Rates    fair.Rates // at all routers, tokens a second
 	Level    float64    // the max-min share, tokens a second
-	Standing fair.Standing
+	Standing fair.ShareStatus
 }
 
 // TakeAccounts returns the accounts, since it was called last, of the customers of which
@@ -20,13 +20,13 @@
 	now := s.now()
 	var list []CustomerAccount
 	for _, name := range s.accounts.MostRefused(most) {
-		rates, level := s.meter.Sum(name, now)
+		rates, level := s.meter.FleetRates(name, now)
 		list = append(list, CustomerAccount{
 			Customer: name,
 			Account:  *s.accounts[name],
 			Rates:    rates,
 			Level:    level,
-			Standing: s.meter.Standing(name, now),
+			Standing: s.meter.ShareStatus(name, now),
 		})
 	}
 	clear(s.accounts)
--- a/internal/edge/state/account_test.go
+++ b/internal/edge/state/account_test.go
@@ -25,8 +25,8 @@
 	list := s.TakeAccounts(9)
 	assert.Equal(t, len(list), 2)
 	assert.Equal(t, list[0].Customer, "b")
-	assert.DeepEqual(t, list[0].Account, fair.Account{Asked: tokens, OverShare: tokens})
+	assert.DeepEqual(t, list[0].Account, fair.Account{Requested: tokens, OverShare: tokens})
 	assert.Equal(t, list[1].Customer, "c")
-	assert.DeepEqual(t, list[1].Account, fair.Account{Asked: 3 * tokens, HostLoad: tokens, Placed: 2 * tokens, Begun: tokens, TakenBack: tokens})
+	assert.DeepEqual(t, list[1].Account, fair.Account{Requested: 3 * tokens, HostOverload: tokens, Placed: 2 * tokens, Started: tokens, Reverted: tokens})
 	assert.Equal(t, len(s.TakeAccounts(9)), 0)
 }
--- a/internal/edge/state/admission_test.go
+++ b/internal/edge/state/admission_test.go
@@ -39,15 +39,15 @@
 	return Need{
 		Service: "llm", Customer: customer,
 		Route: &routing.Route{Target: 400 * time.Millisecond, MaxAttempts: 1},
-		Ask:   &routing.Ask{Prompt: []routing.Part{{ID: "own", Tokens: 300}}, TokensIn: 300, TokensOut: 20},
+		Ask:   &routing.RequestMeta{Prompt: []routing.PromptPart{{ID: "own", Tokens: 300}}, TokensIn: 300, TokensOut: 20},
 	}
 }
 
 // Rates of all customers together below and above what the engines make. The
 // level above is 190,000 tokens a second.
 var (
-	withinCapacity = map[string]fair.Rates{"a": {Asked: 100e3, Served: 100e3}, "b": {Asked: 200e3, Served: 200e3}}
-	aboveCapacity  = map[string]fair.Rates{"a": {Asked: 50e3, Served: 50e3}, "b": {Asked: 900e3, Served: 250e3}, "c": {Asked: 900e3, Served: 185e3}}
+	withinCapacity = map[string]fair.Rates{"a": {Demand: 100e3, Served: 100e3}, "b": {Demand: 200e3, Served: 200e3}}
+	aboveCapacity  = map[string]fair.Rates{"a": {Demand: 50e3, Served: 50e3}, "b": {Demand: 900e3, Served: 250e3}, "c": {Demand: 900e3, Served: 185e3}}
 )
 
 // The pattern: a wave of traffic fills the queues for some 200 ms although all
@@ -80,7 +80,7 @@
 // quarter of what it asks, while the level is above all of it.
 func TestWhoHasLessThanItsShareWaitsLonger(t *testing.T) {
 	now := func() time.Time { return time.Unix(1000, 0) }
-	rates := map[string]fair.Rates{"a": {Asked: 80e3, Served: 20e3}, "b": {Asked: 900e3, Served: 225e3}, "c": {Asked: 900e3, Served: 175e3}}
+	rates := map[string]fair.Rates{"a": {Demand: 80e3, Served: 20e3}, "b": {Demand: 900e3, Served: 225e3}, "c": {Demand: 900e3, Served: 175e3}}
 	const waiting = 12_000 // 200 ms
 	assert.Equal(t, loaded(now, waiting, rates).Place(ask("c")).Why, WhyBusy)
 	assert.Equal(t, loaded(now, waiting, rates).Place(ask("a")).Why, WhyNone)
@@ -123,7 +123,7 @@
 func TestWhatHasNotBegunIsNotServed(t *testing.T) {
 	clock := time.Unix(1000, 0)
 	s := loaded(func() time.Time { return clock }, 0, map[string]fair.Rates{
-		"b": {Asked: 900e3, Served: 250e3}, "c": {Asked: 900e3, Served: 180e3},
+		"b": {Demand: 900e3, Served: 250e3}, "c": {Demand: 900e3, Served: 180e3},
 	})
 	for range 1000 {
 		clock = clock.Add(time.Millisecond)
@@ -131,7 +131,7 @@
 		n.Ask.TokensOut = 1000 // short to read and long to answer
 		s.Place(n)
 	}
-	assert.Assert(t, s.meter.Standing("flood", clock) != fair.Over, "nothing of it has begun")
+	assert.Assert(t, s.meter.ShareStatus("flood", clock) != fair.AboveShare, "nothing of it has begun")
 }
 
 // What begins after it was taken back counts from then on, and what ends unbegun does not;
@@ -139,7 +139,7 @@
 func TestWhatBeginsLateIsServedOnce(t *testing.T) {
 	clock := time.Unix(1000, 0)
 	s := loaded(func() time.Time { return clock }, 0, map[string]fair.Rates{
-		"b": {Asked: 900e3, Served: 250e3}, "c": {Asked: 900e3, Served: 180e3},
+		"b": {Demand: 900e3, Served: 250e3}, "c": {Demand: 900e3, Served: 180e3},
 	})
 	var placed []Placed
 	for range 200 {
@@ -148,7 +148,7 @@
 			placed = append(placed, p)
 		}
 	}
-	served := func() float64 { return s.meter.Own(clock)["late"].Served }
+	served := func() float64 { return s.meter.OwnRates(clock)["late"].Served }
 	assert.Assert(t, served() > 0, "what was just placed counts")
 	clock = clock.Add(placed[len(placed)-1].Choice.Wait + placed[0].Choice.Own + beginSlack + undoEvery)
 	s.Tick()
--- a/internal/edge/state/cold_test.go
+++ b/internal/edge/state/cold_test.go
@@ -73,7 +73,7 @@
 		for _, entryVersion := range []uint64{0, 1} {
 			entry := cold
 			entry.EntryVersion = entryVersion
-			s.ServersToldBy(roster.Told{Servers: []routing.Server{entry}}, roster.Stamp{Version: version})
+			s.ServersToldBy(roster.Snapshot{Servers: []routing.Server{entry}}, roster.Stamp{Version: version})
 			assert.Equal(t, s.ColdCount(), 0)
 		}
 	}
--- a/internal/edge/state/leaving_test.go
+++ b/internal/edge/state/leaving_test.go
@@ -17,7 +17,7 @@
 	s.TakeConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "app"}}}, nil)
 	server := routing.Server{ID: "i", Service: "app", State: routing.ServerReady, Slots: 4}
 	s.ServersReplaced([]routing.Server{server}, roster.Stamp{Version: 1}, false)
-	s.Place(Need{Service: "app", Route: &routing.Route{Target: time.Second}, Ask: &routing.Ask{}})
+	s.Place(Need{Service: "app", Route: &routing.Route{Target: time.Second}, Ask: &routing.RequestMeta{}})
 	s.ServerLeaving(server.Identity())
 	return s, server.Identity()
 }
--- a/internal/edge/state/place.go
+++ b/internal/edge/state/place.go
@@ -45,8 +45,8 @@
 	Service  string
 	Route    *routing.Route
 	Customer string
-	Ask      *routing.Ask
-	Homes    routing.Homes // of route and customer
+	Ask      *routing.RequestMeta
+	Homes    routing.Regions // of route and customer
 	Bytes    int           // of its body
 	Tried    []string
 	Again    bool // it was placed before; admission is not asked again
@@ -127,8 +127,8 @@
 // serve counts a placed request as served, until it is overdue.
 func (s *State) serve(customer string, tokens float64, c pick.Choice, now time.Time) *counted {
 	placed := &counted{customer: customer, tokens: tokens, due: now.Add(c.Wait + c.Own + beginSlack)}
-	s.meter.Served(customer, tokens, now)
-	s.accounts.Of(customer).Placed += tokens
+	s.meter.RecordServed(customer, tokens, now)
+	s.accounts.For(customer).Placed += tokens
 	s.unbegun = append(s.unbegun, placed)
 	return placed
 }
@@ -139,8 +139,8 @@
 		return
 	}
 	c.undone = true
-	s.meter.Undo(c.customer, c.tokens, now)
-	s.accounts.Of(c.customer).TakenBack += c.tokens
+	s.meter.UndoServed(c.customer, c.tokens, now)
+	s.accounts.For(c.customer).Reverted += c.tokens
 }
 
 // undoOverdue takes back what has not begun in its time.
@@ -171,12 +171,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if s.table == nil || !s.table.Engine(n.Service) || !s.givesWay(n, now) {
+	if s.table == nil || !s.table.HasEngines(n.Service) || !s.givesWay(n, now) {
 		return Placed{}, false
 	}
 	s.ask(n, now)
 	s.accountRefusal(n, WhyOver)
-	rates, level := s.meter.Sum(n.Customer, now)
+	rates, level := s.meter.FleetRates(n.Customer, now)
 	return Placed{Why: WhyOver, Back: s.back(n, pick.Choice{}, WhyOver), Rates: rates, Level: level}, true
 }
 
@@ -186,23 +186,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ask(n, s.now())
-	s.accounts.Of(n.Customer).HostLoad += n.tokens()
+	s.accounts.For(n.Customer).HostOverload += n.tokens()
 }
 
 // ask counts a request.
 func (s *State) ask(n Need, now time.Time) {
 	s.bucket(n.Service).Request()
-	s.meter.Asked(n.Customer, n.tokens(), now)
-	s.accounts.Of(n.Customer).Asked += n.tokens()
+	s.meter.RecordDemand(n.Customer, n.tokens(), now)
+	s.accounts.For(n.Customer).Requested += n.tokens()
 }
 
 // givesWay reports whether the customer gets nothing now, so that others get their shares:
 // it has used up its quota at this router, or is far above its share while others are below theirs.
 func (s *State) givesWay(n Need, now time.Time) bool {
-	if s.meter.Rationed(n.Customer, n.tokens(), s.rng.Float64(), now) {
+	if s.meter.QuotaExceeded(n.Customer, n.tokens(), s.rng.Float64(), now) {
 		return true
 	}
-	if !s.meter.FarOver(n.Customer, now) {
+	if !s.meter.FarAboveShare(n.Customer, now) {
 		return false
 	}
 	return now.Sub(s.refusedAt) < contended || s.meter.Contended(now)
@@ -234,7 +234,7 @@
 	}
 	if why := s.admit(n, c, now); why != WhyNone {
 		s.accountRefusal(n, why)
-		rates, level := s.meter.Sum(n.Customer, now)
+		rates, level := s.meter.FleetRates(n.Customer, now)
 		return Placed{Why: why, Choice: c, Back: s.back(n, c, why), Rates: rates, Level: level}
 	}
 	if n.Repeat && !bucket.Take() {
@@ -266,12 +266,12 @@
 
 // accountRefusal notes what was refused, and why.
 func (s *State) accountRefusal(n Need, why Why) {
-	account := s.accounts.Of(n.Customer)
+	account := s.accounts.For(n.Customer)
 	if why == WhyOver {
 		account.OverShare += n.tokens()
 		return
 	}
-	account.NoRoom += n.tokens()
+	account.NoCapacity += n.tokens()
 }
 
 // admit decides whether the request is worth sending: its wait must leave it
@@ -283,21 +283,21 @@
 	if n.Again {
 		return WhyNone
 	}
-	if !s.table.Engine(n.Service) {
+	if !s.table.HasEngines(n.Service) {
 		if c.Wait > time.Duration(float64(n.Route.Target)*plainPart) {
 			return WhyBusy
 		}
 		return WhyNone
 	}
-	standing := s.meter.Standing(n.Customer, now)
+	standing := s.meter.ShareStatus(n.Customer, now)
 	switch standing {
-	case fair.Over:
+	case fair.AboveShare:
 		return s.admitOver(n, c, now)
 	case fair.BelowShare:
 		if c.Wait <= belowLimit {
 			return WhyNone
 		}
-	case fair.Even:
+	case fair.AtShare:
 		if c.Wait <= s.evenLimit(n, c, now) {
 			return WhyNone
 		}
@@ -310,7 +310,7 @@
 // make what all customers ask, a queue is a wave that passes: a request waits as long as it can
 // still be answered in time, rather than be refused by a fleet that has room for it.
 func (s *State) evenLimit(n Need, c pick.Choice, now time.Time) time.Duration {
-	if s.meter.Ratio(n.Customer, now) > 0 {
+	if s.meter.ServedRatio(n.Customer, now) > 0 {
 		return waitLimit
 	}
 	return max(waitLimit, min(belowLimit, n.Route.Target-c.Own))
@@ -322,7 +322,7 @@
 	if s.givesWay(n, now) {
 		return WhyOver
 	}
-	ratio := s.meter.Ratio(n.Customer, now)
+	ratio := s.meter.ServedRatio(n.Customer, now)
 	if c.Wait > time.Duration(float64(overLimit)*max(0, 2-ratio)) {
 		return WhyOver
 	}
@@ -347,10 +347,10 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	if !p.counted.began {
-		s.accounts.Of(p.counted.customer).Begun += p.counted.tokens
+		s.accounts.For(p.counted.customer).Started += p.counted.tokens
 	}
 	if p.counted.undone && !p.counted.began {
-		s.meter.Served(p.counted.customer, p.counted.tokens, now)
+		s.meter.RecordServed(p.counted.customer, p.counted.tokens, now)
 	}
 	p.counted.began = true
 	p.first = now
--- a/internal/edge/state/poison.go
+++ b/internal/edge/state/poison.go
@@ -14,7 +14,7 @@
 const repeatMost = 16
 
 // Blocked are contents that are newly blocked.
-type Blocked []routing.Content
+type Blocked []routing.ContentHash
 
 // Log writes them, if there are any, and what told this router.
 func (b Blocked) Log(log *slog.Logger, from string) {
@@ -33,7 +33,7 @@
 
 // Crashed notes that the server crashed while it ran a request of this router that was sent
 // at the time. accepted says that it had taken a new connection for it.
-func (s *State) Crashed(c routing.Content, server routing.Identity, sent time.Time, accepted bool) poison.Change {
+func (s *State) Crashed(c routing.ContentHash, server routing.Identity, sent time.Time, accepted bool) poison.Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := poison.Crash{Server: server.Key(), Sent: sent, At: s.now(), Answered: s.picker.Answered(server), Accepted: accepted}
@@ -44,22 +44,22 @@
 
 // Succeeded notes a complete response to the content, and reports whether that clears it of crashes, and which
 // contents are blocked by it.
-func (s *State) Succeeded(c routing.Content) (cleared bool, blocked Blocked) {
+func (s *State) Succeeded(c routing.ContentHash) (cleared bool, blocked Blocked) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.poison.Succeeded(c, s.now())
 }
 
 // AdmitContent says whether a request with the content may be sent.
-func (s *State) AdmitContent(c routing.Content) poison.Admission {
+func (s *State) AdmitContent(c routing.ContentHash) poison.Admission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rank := func(c routing.Content) int { return s.fleet.Rank(uint64(c)) }
+	rank := func(c routing.ContentHash) int { return s.fleet.Rank(uint64(c)) }
 	return s.poison.Admit(c, rank, s.now())
 }
 
 // EndTrial notes that the trial of the content at this router is over.
-func (s *State) EndTrial(c routing.Content) {
+func (s *State) EndTrial(c routing.ContentHash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.poison.EndTrial(c)
@@ -89,14 +89,14 @@
 
 // CrashesToStore returns the contents that this router is to write into the store, and those
 // that it is to remove there.
-func (s *State) CrashesToStore() (write []poison.Record, remove []routing.Content) {
+func (s *State) CrashesToStore() (write []poison.Record, remove []routing.ContentHash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.poison.ToStore(s.now())
 }
 
 // CrashesStored notes that the store has the ones and has forgotten the others.
-func (s *State) CrashesStored(written []poison.Record, removed []routing.Content) {
+func (s *State) CrashesStored(written []poison.Record, removed []routing.ContentHash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.poison.Stored(written, removed)
--- a/internal/edge/state/report.go
+++ b/internal/edge/state/report.go
@@ -59,7 +59,7 @@
 	now := s.now()
 	return Report{
 		Loads:   s.picker.Loads(now),
-		Rates:   s.meter.Own(now),
+		Rates:   s.meter.OwnRates(now),
 		Sent:    s.picker.TakePending(),
 		Firsts:  s.picker.TakeFirsts(),
 		Crashes: s.poison.TakeUpdates(now),
@@ -87,7 +87,7 @@
 	s.mu.Lock()
 	now := s.now()
 	own := s.picker.Loads(now)
-	rates := s.meter.Own(now)
+	rates := s.meter.OwnRates(now)
 	s.mu.Unlock()
 	for key, l := range own {
 		if total, ok := r.Loads[key]; ok {
@@ -99,7 +99,7 @@
 		if !ok {
 			continue
 		}
-		r.Rates[name] = fair.Rates{Asked: max(0, total.Asked-mine.Asked), Served: max(0, total.Served-mine.Served)}
+		r.Rates[name] = fair.Rates{Demand: max(0, total.Demand-mine.Demand), Served: max(0, total.Served-mine.Served)}
 	}
 	s.PeerReport(from, r)
 }
@@ -111,6 +111,6 @@
 	now := s.now()
 	s.picker.PeerLoads(peer, r.Loads, r.Light, now)
 	if len(r.Rates) > 0 {
-		s.meter.Peer(peer, r.Rates, now)
+		s.meter.SetPeerRates(peer, r.Rates, now)
 	}
 }
--- a/internal/edge/state/servers.go
+++ b/internal/edge/state/servers.go
@@ -24,14 +24,14 @@
 }
 
 // ServersToldBy takes the list of another router, unless it is an older one.
-func (s *State) ServersToldBy(list roster.Told, stamp roster.Stamp) bool {
+func (s *State) ServersToldBy(list roster.Snapshot, stamp roster.Stamp) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.roster.Stamp().After(stamp) {
 		return false
 	}
 	s.roster.SetStamp(stamp)
-	s.roster.ReplaceTold(list, s.now())
+	s.roster.ReplaceFromPeer(list, s.now())
 	s.listed = true
 	s.updateServers(s.now())
 	return true
@@ -56,7 +56,7 @@
 	if !s.listed {
 		return roster.Delta{}, false
 	}
-	return s.roster.Since(from, s.now())
+	return s.roster.DeltaSince(from, s.now())
 }
 
 // ServersChanged takes changed and removed entries, as of a version of the store.
@@ -81,7 +81,7 @@
 func (s *State) ServerUnusable(id string, as roster.Stamp) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.roster.Forget(id, as, s.now()) {
+	if s.roster.Remove(id, as, s.now()) {
 		s.updateServers(s.now())
 	}
 }
@@ -94,10 +94,10 @@
 }
 
 // ServersTold returns the list for other routers, and its stamp.
-func (s *State) ServersTold() (roster.Told, roster.Stamp) {
+func (s *State) ServersTold() (roster.Snapshot, roster.Stamp) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.roster.Told(s.now()), s.roster.Stamp()
+	return s.roster.Snapshot(s.now()), s.roster.Stamp()
 }
 
 // ServerCount returns how many servers are listed.
@@ -146,7 +146,7 @@
 		return before, false
 	}
 	now := s.now()
-	s.roster.Returned(now)
+	s.roster.StoreRestored(now)
 	s.poison.Unstored(s.rng, now)
 	return before, true
 }
@@ -162,21 +162,21 @@
 func (s *State) StoreBack() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.roster.StoreBack(s.now())
+	s.roster.StoreUp(s.now())
 }
 
 // StoreNotFollowed notes that the list comes from other routers.
 func (s *State) StoreNotFollowed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.roster.NotFollowed()
+	s.roster.StopFollowing()
 }
 
 // Followed returns for how long the store's list has been followed without a gap.
 func (s *State) Followed() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.roster.Followed(s.now())
+	return s.roster.FollowedFor(s.now())
 }
 
 // Settle takes another router's report of how long it has followed the store without a gap and of
@@ -189,7 +189,7 @@
 	if as == s.roster.Stamp() {
 		s.clearStaleLeaving(followed, now)
 	}
-	if !s.roster.Settle(followed, now) {
+	if !s.roster.ResolveDoubt(followed, now) {
 		return false
 	}
 	s.updateServers(now)
@@ -220,7 +220,7 @@
 
 // setServers has the picker take the list in force.
 func (s *State) setServers(now time.Time) {
-	s.roster.Changed() // the whole list has it
+	s.roster.TakeChanges() // the whole list has it
 	s.picker.SetEvacuated(s.evacuated.All())
 	list := make([]routing.Server, 0, s.roster.Len())
 	s.roster.Each(func(server routing.Server) { list = append(list, server) })
@@ -231,7 +231,7 @@
 
 // updateServers has the picker take what has changed of the list.
 func (s *State) updateServers(now time.Time) {
-	changed, gone, whole := s.roster.Changed()
+	changed, gone, whole := s.roster.TakeChanges()
 	if whole {
 		s.setServers(now)
 		return
@@ -259,7 +259,7 @@
 	}
 	all, open := 0, 0
 	s.roster.EachCount(func(service, dataCentre string, n int) {
-		if !s.table.Engine(service) {
+		if !s.table.HasEngines(service) {
 			return
 		}
 		all += n
--- a/internal/edge/state/state.go
+++ b/internal/edge/state/state.go
@@ -182,7 +182,7 @@
 	if s.roster.Tick(now) {
 		s.updateServers(now)
 	}
-	s.clearStaleLeaving(s.roster.Followed(now), now)
+	s.clearStaleLeaving(s.roster.FollowedFor(now), now)
 	s.undoOverdue(now)
 	s.picker.Tick(now)
 	return s.poison.Tick(s.rng, now)
@@ -225,4 +225,4 @@
 }
 
 // Draw returns the service that a request of the route goes to.
-func Draw(r *routing.Route) string { return r.Pick(rand.Float64()) }
+func Draw(r *routing.Route) string { return r.PickService(rand.Float64()) }
--- a/internal/edge/state/state_test.go
+++ b/internal/edge/state/state_test.go
@@ -30,10 +30,10 @@
 		{Name: "llm", Engine: &routing.Engine{Slots: 64, CacheTokens: 1 << 20}},
 		{Name: "app"},
 	}}, nil)
-	flood := Need{Service: "llm", Customer: "flood", Route: &routing.Route{Target: 600 * time.Millisecond}, Ask: &routing.Ask{TokensIn: 1000}}
+	flood := Need{Service: "llm", Customer: "flood", Route: &routing.Route{Target: 600 * time.Millisecond}, Ask: &routing.RequestMeta{TokensIn: 1000}}
 	others := func(served float64) {
 		s.PeerReport("p", Report{Rates: map[string]fair.Rates{
-			"flood": {Asked: 90000, Served: 60000}, "owed": {Asked: 40000, Served: served},
+			"flood": {Demand: 90000, Served: 60000}, "owed": {Demand: 40000, Served: served},
 		}})
 	}
 	others(38000)
--- a/internal/emulator/controlplane/host.go
+++ b/internal/emulator/controlplane/host.go
@@ -255,7 +255,7 @@
 		Service:  service,
 		Route:    &routing.Route{Kind: routing.Stream, Target: time.Second, MaxAttempts: 1},
 		Customer: fmt.Sprintf("customer%03d", rand.New(rand.NewPCG(uint64(i), 1)).IntN(max(h.sim.Customers, 1))),
-		Ask: &routing.Ask{Prompt: []routing.Part{
+		Ask: &routing.RequestMeta{Prompt: []routing.PromptPart{
 			{ID: fmt.Sprintf("shared%d", i%2000), Tokens: 6000},
 			{ID: fmt.Sprintf("own%d", i), Tokens: 2000},
 		}, TokensOut: 50},
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -32,7 +32,7 @@
 // accept takes a request that arrives at now and returns when its first and its last
 // token come, and what it read: all, and of that shared. What the holder keeps of the shared parts is
 // fetched; nil: there is none.
-func (e *engine) accept(ask *routing.Ask, holder *engine, now time.Time) (first, last time.Time, read, shared int) {
+func (e *engine) accept(ask *routing.RequestMeta, holder *engine, now time.Time) (first, last time.Time, read, shared int) {
 	for i, part := range ask.Prompt {
 		own := i == len(ask.Prompt)-1
 		if _, ok := e.cache[part.ID]; ok && !own {
@@ -64,13 +64,13 @@
 }
 
 // keeps reports whether the part is in the memory.
-func (e *engine) keeps(part routing.Part) bool {
+func (e *engine) keeps(part routing.PromptPart) bool {
 	_, ok := e.cache[part.ID]
 	return ok && !e.lost
 }
 
 // keep puts a part into the memory, and the least recently used ones out.
-func (e *engine) keep(part routing.Part, now time.Time) {
+func (e *engine) keep(part routing.PromptPart, now time.Time) {
 	if old, ok := e.cache[part.ID]; ok {
 		e.kept -= int64(old.tokens)
 	}
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -13,7 +13,7 @@
 type request struct {
 	s        *sim
 	customer *Customer
-	ask      routing.Ask
+	ask      routing.RequestMeta
 	begin    time.Time
 	again    bool // its caller has come back once
 	tried    []string
@@ -29,9 +29,9 @@
 	s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		s.ids++
 		q := &request{s: s, customer: c, begin: s.now}
-		q.ask = routing.Ask{
+		q.ask = routing.RequestMeta{
 			Attempt: fmt.Sprintf("a%d", s.ids),
-			Prompt: []routing.Part{
+			Prompt: []routing.PromptPart{
 				{ID: fmt.Sprintf("%s-%d", c.Name, s.rng.IntN(max(c.Things, 1))), Tokens: c.Shared},
 				{ID: fmt.Sprintf("own-%d", s.ids), Tokens: c.Own},
 			},
