--- /dev/null
+++ b/internal/core/routing/request.go
@@ -0,0 +1,44 @@
+package routing
+
+import "time"
+
+// PromptPart is one part of a prompt, in prompt order. Requests may share leading parts; the last
+// part belongs to the request or its session.
+type PromptPart struct {
+	ID     string
+	Tokens int
+}
+
+// RequestMeta is what a caller specifies about its request in addition to method, path and body.
+type RequestMeta struct {
+	Attempt        string // caller's ID of this attempt, unique for each
+	IdempotencyKey string // empty if there is none
+	TimeLeft       time.Duration
+	HasTimeLeft    bool // the caller specified how long it waits
+	Prompt         []PromptPart
+	TokensIn       int // size of the prompt
+	TokensOut      int // maximum size of the answer
+	LastEventID    string
+}
+
+// PromptSize returns the size of a prompt, summed over its parts.
+func PromptSize(prompt []PromptPart) int {
+	total := 0
+	for _, p := range prompt {
+		total += p.Tokens
+	}
+	return total
+}
+
+// PromptTokens returns the size of the prompt: the sum of its parts or the declared size,
+// whichever is larger.
+func (a *RequestMeta) PromptTokens() int { return max(PromptSize(a.Prompt), a.TokensIn) }
+
+// ForwardMeta is what the fleet sends to a backend server along with a request.
+type ForwardMeta struct {
+	TimeLeft    time.Duration // remaining time of the request
+	ServerID    string        // ID of the server start that must answer
+	Customer    string        // empty if there is none
+	LastEventID string        // ID of the last event that the caller has received; empty for a first run
+	FetchFrom   string        // IP:port of a server that holds parts of the prompt; empty if there is none
+}
