--- a/internal/core/join/join.go
+++ b/internal/core/join/join.go
@@ -87,12 +87,12 @@
 // Done notes that a view was taken.
 func (j *Join) Done() { j.done = true }
 
-// Over reports whether the view was found, or the store is to be read.
-func (j *Join) Over(now time.Time) bool { return j.done || !now.Before(j.readAt) && !j.fetching }
+// Finished reports whether the view was found, or the store is to be read.
+func (j *Join) Finished(now time.Time) bool { return j.done || !now.Before(j.readAt) && !j.fetching }
 
-// Ask returns the router to ask now; empty: none.
-func (j *Join) Ask(now time.Time) string {
-	if j.Over(now) || j.fetching || len(j.sources) > 0 || now.Before(j.askAt) || len(j.seeds) == 0 {
+// NextSeed returns the router to ask now; empty: none.
+func (j *Join) NextSeed(now time.Time) string {
+	if j.Finished(now) || j.fetching || len(j.sources) > 0 || now.Before(j.askAt) || len(j.seeds) == 0 {
 		return ""
 	}
 	seed := j.seeds[j.next]
@@ -113,8 +113,8 @@
 	return d/2 + time.Duration(j.rng.Int64N(int64(d)))
 }
 
-// Answered takes the answer of a router that was asked.
-func (j *Join) Answered(o Offer, now time.Time) {
+// HandleOffer takes the answer of a router that was asked.
+func (j *Join) HandleOffer(o Offer, now time.Time) {
 	if !j.answered && !j.firstStart && !j.root {
 		j.readAt = j.began.Add(patience + j.ramp())
 	}
@@ -132,9 +132,9 @@
 	}
 }
 
-// Fetch returns the router to fetch the view from now; empty: none. Fetched is called with what
+// NextFetch returns the router to fetch the view from now; empty: none. Fetched is called with what
 // came of it.
-func (j *Join) Fetch() string {
+func (j *Join) NextFetch() string {
 	if j.done || j.fetching || len(j.sources) == 0 {
 		return ""
 	}
@@ -144,8 +144,8 @@
 	return from
 }
 
-// Fetched notes that a fetch has ended. others are routers that the one asked named in its place.
-func (j *Join) Fetched(found bool, others []string, now time.Time) {
+// FetchEnded notes that a fetch has ended. others are routers that the one asked named in its place.
+func (j *Join) FetchEnded(found bool, others []string, now time.Time) {
 	j.fetching = false
 	j.done = j.done || found
 	if found {
--- a/internal/core/join/join_test.go
+++ b/internal/core/join/join_test.go
@@ -17,24 +17,24 @@
 // what a router answers, nil: nothing.
 func play(j *Join, answer func(seed string, now time.Time) *Offer, fetch func(from string, now time.Time) bool) (took time.Duration, asked int) {
 	now := start
-	for ; !j.Over(now); now = now.Add(10 * time.Millisecond) {
-		if seed := j.Ask(now); seed != "" {
+	for ; !j.Finished(now); now = now.Add(10 * time.Millisecond) {
+		if seed := j.NextSeed(now); seed != "" {
 			asked++
 			if o := answer(seed, now); o != nil {
-				j.Answered(*o, now)
+				j.HandleOffer(*o, now)
 			}
 		}
-		if from := j.Fetch(); from != "" {
-			j.Fetched(fetch(from, now), nil, now)
+		if from := j.NextFetch(); from != "" {
+			j.FetchEnded(fetch(from, now), nil, now)
 		}
 	}
 	return now.Sub(start), asked
 }
 
 // At the first start of all the seeds read the store, and nobody else does while they live.
-func TestTheSeedsReadTheStoreAtTheFirstStart(t *testing.T) {
+func TestOnlySeedsReadStoreAtFirstStart(t *testing.T) {
 	seeds := []string{"a", "b", "c"}
-	assert.Assert(t, New("b", seeds, true, draws(1), start).Over(start))
+	assert.Assert(t, New("b", seeds, true, draws(1), start).Finished(start))
 	ready := start.Add(2 * time.Second)
 	for i := range uint64(986) {
 		j := New("x", seeds, true, draws(i), start)
@@ -50,16 +50,16 @@
 }
 
 // Whoever starts alone, with seeds that have no power, reads the store at once.
-func TestWithoutSeedsThatLiveTheStoreIsReadAtOnce(t *testing.T) {
+func TestStoreIsReadIfNoSeedAnswers(t *testing.T) {
 	took, asked := play(New("x", []string{"a", "b", "c"}, false, draws(1), start), func(string, time.Time) *Offer { return nil }, nil)
 	assert.Equal(t, took, 3*answerWithin)
 	assert.Equal(t, asked, 3)
-	assert.Assert(t, New("x", nil, false, draws(1), start).Over(start))
+	assert.Assert(t, New("x", nil, false, draws(1), start).Finished(start))
 }
 
 // The pattern: all of 986 routers are killed at once, and the store can't be read by the seeds.
 // Those that have waited read it one after the other, so that the first ones serve the others.
-func TestFewReadTheStoreAtATime(t *testing.T) {
+func TestStoreReadsAreStaggered(t *testing.T) {
 	var reads []time.Duration
 	for i := range uint64(986) {
 		took, _ := play(New("x", []string{"a", "b", "c"}, false, draws(i), start), func(seed string, _ time.Time) *Offer { return &Offer{From: seed} }, nil)
@@ -76,7 +76,7 @@
 }
 
 // A seed that has started again asks the others first, and then reads the store.
-func TestASeedThatStartsAgainAsksTheOthers(t *testing.T) {
+func TestRestartedSeedAsksOtherSeeds(t *testing.T) {
 	j := New("a", []string{"a", "b", "c"}, false, draws(1), start)
 	took, _ := play(j, func(seed string, _ time.Time) *Offer { return &Offer{From: seed} }, nil)
 	assert.Equal(t, took, 2*answerWithin)
@@ -88,27 +88,27 @@
 }
 
 // A source that is busy names others; one that fails is followed by the next.
-func TestAViewIsFetchedWhereItIsToBeHad(t *testing.T) {
+func TestFetchTriesSourcesInTurn(t *testing.T) {
 	j := New("x", []string{"a"}, true, draws(1), start)
-	j.Answered(Offer{From: "a", HasView: true, Sources: []string{"s1", "s2"}}, start)
-	first := j.Fetch()
-	assert.Equal(t, j.Fetch(), "", "one at a time")
-	j.Fetched(false, nil, start)
-	second := j.Fetch()
+	j.HandleOffer(Offer{From: "a", HasView: true, Sources: []string{"s1", "s2"}}, start)
+	first := j.NextFetch()
+	assert.Equal(t, j.NextFetch(), "", "one at a time")
+	j.FetchEnded(false, nil, start)
+	second := j.NextFetch()
 	assert.Assert(t, first != second && second != "")
-	j.Fetched(false, []string{"s3"}, start)
-	assert.Equal(t, j.Fetch(), "s3")
-	assert.Assert(t, !j.Over(start.Add(time.Hour)), "a fetch is under way")
-	j.Fetched(false, nil, start)
-	assert.Equal(t, j.Fetch(), "")
-	assert.Assert(t, j.Ask(start.Add(time.Second)) != "", "it asks again")
+	j.FetchEnded(false, []string{"s3"}, start)
+	assert.Equal(t, j.NextFetch(), "s3")
+	assert.Assert(t, !j.Finished(start.Add(time.Hour)), "a fetch is under way")
+	j.FetchEnded(false, nil, start)
+	assert.Equal(t, j.NextFetch(), "")
+	assert.Assert(t, j.NextSeed(start.Add(time.Second)) != "", "it asks again")
 	j.Done()
-	assert.Assert(t, j.Over(start))
+	assert.Assert(t, j.Finished(start))
 }
 
 // What is asked of seeds in a second does not grow faster than the fleet, and not with the time
 // that the seeds need.
-func TestAsksAreBounded(t *testing.T) {
+func TestQueriesToSeedsAreBounded(t *testing.T) {
 	for _, n := range []int{100, 1000, 2000} {
 		total := 0
 		for i := range n {
--- a/internal/core/pick/cache.go
+++ b/internal/core/pick/cache.go
@@ -9,71 +9,69 @@
 )
 
 const (
-	// leastLife and mostLife bound how long an engine is thought to keep what was
-	// read there.
-	leastLife = 2 * time.Second
-	mostLife  = 60 * time.Second
-	// lifeOver is the time over which the rate is averaged at which engines are
-	// filled.
-	lifeOver = 3 * time.Second
-	// advertiseAgain is in which part of that life the routers are told once more that a
-	// server keeps a part, so that they know that it is still in use.
-	advertiseAgain = 4
-	// holdersMost is how many servers that keep a part are remembered for fetches.
-	holdersMost = 3
-	// pendingMost bounds what is waiting to be told: some 20 KB.
-	pendingMost = 4096
+	// minLifetime and maxLifetime bound the estimated time for which an engine keeps prompt parts
+	// in its prefix cache.
+	minLifetime = 2 * time.Second
+	maxLifetime = 60 * time.Second
+	// fillRateWindow is the time constant of the averaged rate at which engine caches are filled.
+	fillRateWindow = 3 * time.Second
+	// advertisementsPerLifetime is how often within the cache lifetime the other routers are told
+	// that a server still uses a part.
+	advertisementsPerLifetime = 4
+	// maxHolders is how many servers that cache a part are remembered as sources for fetches.
+	maxHolders = 3
+	// maxPendingParts bounds the updates that wait to be sent to other routers, to about 20 KB.
+	maxPendingParts = 4096
 )
 
-// Sent says which parts of prompts were sent to which servers; a part by the hash of
-// its name.
-type Sent map[routing.ServerKey][]uint32
+// SentParts holds the parts of prompts that were sent to each server, as hashes of the part IDs.
+type SentParts map[routing.ServerKey][]uint32
 
-// partKey is the hash of a part's name. With some thousand parts in use one in a
-// million is taken for another: a fetch in vain.
+// partKey hashes the ID of a part. With several thousand parts in use, about one in a million
+// collides with another, which costs one useless fetch.
 func partKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// keys appends the keys of the prompt's parts.
-func keys(to []uint32, prompt []routing.Part) []uint32 {
+// appendPartKeys appends the keys of the parts of the prompt.
+func appendPartKeys(keys []uint32, prompt []routing.Part) []uint32 {
 	for _, part := range prompt {
-		to = append(to, partKey(part.ID))
+		keys = append(keys, partKey(part.ID))
 	}
-	return to
+	return keys
 }
 
-// cache is what a server is thought to keep of prompts: when each part was last
-// sent there, by any router as far as it was heard.
+// cache estimates which prompt parts a server has cached: it holds when each part was last sent
+// there by any router, as far as this router knows.
 type cache map[uint32]time.Time
 
-// kept returns how many tokens of the prompt, from its start, are kept if the
-// server keeps a part for life after its last use, and how many the prompt has.
-func (c cache) kept(prompt []routing.Part, keys []uint32, life time.Duration, now time.Time) (tokens, all int) {
-	whole := true
+// cachedTokens returns how many leading tokens of the prompt are cached if the server keeps a part
+// for lifetime after its last use, and the total number of tokens in the prompt.
+func (c cache) cachedTokens(prompt []routing.Part, keys []uint32, lifetime time.Duration, now time.Time) (tokens, total int) {
+	contiguous := true
 	for i, part := range prompt {
-		all += part.Tokens
-		if at, ok := c[keys[i]]; !whole || !ok || now.Sub(at) > life {
-			whole = false
+		total += part.Tokens
+		if sentAt, ok := c[keys[i]]; !contiguous || !ok || now.Sub(sentAt) > lifetime {
+			contiguous = false
 			continue
 		}
 		tokens += part.Tokens
 	}
-	return tokens, all
+	return tokens, total
 }
 
-// holder is a server that keeps a part.
+// holder is a server that has a part in its cache.
 type holder struct {
-	s  *server
-	at time.Time // when it was sent there last
+	server *server
+	sentAt time.Time // when the part was last sent to it
 }
 
-// holders are the servers that keep a part, that with the latest use first.
-type holders [holdersMost]holder
+// holders lists the servers that have a part in their caches, most recently used first.
+type holders [maxHolders]holder
 
-// note puts the server first.
-func (h *holders) note(s *server, now time.Time) {
+// moveToFront puts the server first and drops the last entry if the list is full.
+func (h *holders) moveToFront(s *server, now time.Time) {
 	last := len(h) - 1
 	for i := range h {
-		if h[i].s == s {
+		if h[i].server == s {
 			last = i
 			break
 		}
@@ -82,157 +80,158 @@
 	h[0] = holder{s, now}
 }
 
-// holder returns a server other than s that keeps the part, one in the same data
-// centre first; nil if none is known.
-func (p *Picker) holder(key uint32, s *server, homes routing.Homes, life time.Duration, now time.Time) *server {
+// findHolder returns a server other than s that caches the part, preferring the data centre of s;
+// nil if none is known.
+func (p *Picker) findHolder(key uint32, s *server, regions routing.Homes, lifetime time.Duration, now time.Time) *server {
 	var found *server
 	for _, h := range p.holders[key] {
-		if h.s == nil || h.s == s || !h.s.takes || now.Sub(h.at) > life || p.rankOf(h.s, now) != rankGood ||
-			!homes.Allow(h.s.region) || h.s.onPermits(now) {
+		if h.server == nil || h.server == s || !h.server.accepts || now.Sub(h.sentAt) > lifetime || p.rankOf(h.server, now) != rankGood ||
+			!regions.Allow(h.server.region) || h.server.needsPermit(now) {
 			continue
 		}
-		if h.s.DataCentre == s.DataCentre {
-			return h.s
+		if h.server.DataCentre == s.DataCentre {
+			return h.server
 		}
 		if found == nil {
-			found = h.s
+			found = h.server
 		}
 	}
 	return found
 }
 
-// noteSent notes that parts were sent to the server.
-func (p *Picker) noteSent(s *server, keys []uint32, now time.Time) {
+// recordSentParts records that parts were sent to the server.
+func (p *Picker) recordSentParts(s *server, keys []uint32, now time.Time) {
 	if s.cache == nil {
 		s.cache = cache{}
 	}
-	p.caching[s] = true
+	p.withCache[s] = true
 	for _, key := range keys {
 		s.cache[key] = now
 		h := p.holders[key]
-		h.note(s, now)
+		h.moveToFront(s, now)
 		p.holders[key] = h
 	}
 }
 
-// advertise notes what other routers do not know yet of the shared parts that are
-// sent to the server; it is called before noteSent.
-func (p *Picker) advertise(s *server, prompt []routing.Part, keys []uint32, learnt *speed, now time.Time) {
+// queueAdvertisements queues updates for other routers about the shared parts that are sent to the
+// server, unless they were advertised recently. It must be called before recordSentParts.
+func (p *Picker) queueAdvertisements(s *server, prompt []routing.Part, keys []uint32, spd *speed, now time.Time) {
 	if len(prompt) < 2 {
 		return
 	}
-	rate, _ := learnt.first.fit()
-	if float64(routing.Tokens(prompt[:len(prompt)-1])) < leastFetch(s.engine, rate) {
+	rate, _ := spd.firstToken.fit()
+	if float64(routing.Tokens(prompt[:len(prompt)-1])) < minFetchTokens(s.engine, rate) {
 		return
 	}
 	for _, key := range keys[:len(prompt)-1] {
-		if now.Sub(s.advertised[key]) < learnt.life/advertiseAgain || p.pendingCount >= pendingMost {
+		if now.Sub(s.advertisedAt[key]) < spd.lifetime/advertisementsPerLifetime || p.pendingCount >= maxPendingParts {
 			continue
 		}
-		s.advertise(key, now)
-		p.pending[s.key] = append(p.pending[s.key], key)
+		s.markAdvertised(key, now)
+		p.pendingParts[s.key] = append(p.pendingParts[s.key], key)
 		p.pendingCount++
 	}
 }
 
-// advertise notes that the routers were told that the server keeps a part.
-func (s *server) advertise(key uint32, now time.Time) {
-	if s.advertised == nil {
-		s.advertised = map[uint32]time.Time{}
+// markAdvertised records that the other routers know that the server caches the part.
+func (s *server) markAdvertised(key uint32, now time.Time) {
+	if s.advertisedAt == nil {
+		s.advertisedAt = map[uint32]time.Time{}
 	}
-	s.advertised[key] = now
+	s.advertisedAt[key] = now
 }
 
-// TakePending returns what the other routers are to be told of parts sent to servers,
-// once.
-func (p *Picker) TakePending() Sent {
-	pending := p.pending
-	p.pending = Sent{}
+// TakePendingParts returns the parts sent to servers that the other routers have yet to be told
+// of, and clears the queue.
+func (p *Picker) TakePendingParts() SentParts {
+	pending := p.pendingParts
+	p.pendingParts = SentParts{}
 	p.pendingCount = 0
 	return pending
 }
 
-// Merge takes another router's updates.
-func (p *Picker) Merge(pending Sent, now time.Time) {
+// MergeParts merges the updates of another router.
+func (p *Picker) MergeParts(pending SentParts, now time.Time) {
 	for server, keys := range pending {
-		s := p.keyed[server]
+		s := p.serversByKey[server]
 		if s == nil || s.engine == nil {
 			continue
 		}
-		p.noteSent(s, keys, now)
+		p.recordSentParts(s, keys, now)
 		for _, key := range keys {
-			s.advertise(key, now)
+			s.markAdvertised(key, now)
 		}
 	}
 }
 
-// forgetParts drops what no server keeps any more.
-func (p *Picker) forgetParts(now time.Time) {
-	for s := range p.caching {
-		life := p.rate(s.Service).life
-		for key, at := range s.cache {
-			if now.Sub(at) > life {
+// expireParts removes parts that no server is expected to cache any more.
+func (p *Picker) expireParts(now time.Time) {
+	for s := range p.withCache {
+		lifetime := p.speedOf(s.Service).lifetime
+		for key, usedAt := range s.cache {
+			if now.Sub(usedAt) > lifetime {
 				delete(s.cache, key)
 			}
 		}
-		for key, at := range s.advertised {
-			if now.Sub(at) > life {
-				delete(s.advertised, key)
+		for key, usedAt := range s.advertisedAt {
+			if now.Sub(usedAt) > lifetime {
+				delete(s.advertisedAt, key)
 			}
 		}
-		if len(s.cache)+len(s.advertised) == 0 {
-			delete(p.caching, s)
+		if len(s.cache)+len(s.advertisedAt) == 0 {
+			delete(p.withCache, s)
 		}
 	}
 	for key, h := range p.holders {
-		if h[0].s == nil || now.Sub(h[0].at) > mostLife {
+		if h[0].server == nil || now.Sub(h[0].sentAt) > maxLifetime {
 			delete(p.holders, key)
 		}
 	}
 }
 
-// learnLife works out how long the service's engines keep what they read: as
-// long as it takes all routers to fill their memory. Others' part of the filling
-// is known by what they run.
-func (p *Picker) learnLife(r *speed, list []*server, now time.Time) {
+// updateLifetime estimates how long the service's engines keep a part: the time that all routers
+// together need to fill their caches. The fill rate of the other routers is extrapolated from this
+// router's rate by the number of running requests.
+func (p *Picker) updateLifetime(spd *speed, list []*server, now time.Time) {
 	if len(list) == 0 || list[0].engine == nil {
 		return
 	}
-	dt := now.Sub(r.filledAt)
-	r.filledAt = now
-	if dt <= 0 || dt > mostLife {
+	dt := now.Sub(spd.fillUpdated)
+	spd.fillUpdated = now
+	if dt <= 0 || dt > maxLifetime {
 		return
 	}
-	w := min(float64(dt)/float64(lifeOver), 1)
-	r.fill += w * (r.filled/dt.Seconds() - r.fill)
-	r.filled = 0
-	own, all := p.running(list[0].Service)
-	r.ownRunning += w * (float64(own) - r.ownRunning)
-	r.allRunning += w * (float64(all) - r.allRunning)
-	fill := r.fill * max(r.allRunning, 1) / max(r.ownRunning, 0.1)
-	if fill <= 0 {
-		r.life = mostLife
+	weight := min(float64(dt)/float64(fillRateWindow), 1)
+	spd.fillRate += weight * (spd.filledTokens/dt.Seconds() - spd.fillRate)
+	spd.filledTokens = 0
+	own, all := p.runningRequests(list[0].Service)
+	spd.ownRunning += weight * (float64(own) - spd.ownRunning)
+	spd.allRunning += weight * (float64(all) - spd.allRunning)
+	fleetFillRate := spd.fillRate * max(spd.allRunning, 1) / max(spd.ownRunning, 0.1)
+	if fleetFillRate <= 0 {
+		spd.lifetime = maxLifetime
 		return
 	}
-	seconds := float64(list[0].engine.CacheTokens) * float64(len(list)) / fill
-	r.life = min(max(time.Duration(min(seconds, mostLife.Seconds())*float64(time.Second)), leastLife), mostLife)
+	seconds := float64(list[0].engine.CacheTokens) * float64(len(list)) / fleetFillRate
+	spd.lifetime = min(max(time.Duration(min(seconds, maxLifetime.Seconds())*float64(time.Second)), minLifetime), maxLifetime)
 }
 
-// running returns how many requests of this router, and of all, run at the service's servers.
-func (p *Picker) running(service string) (own, all int) {
+// runningRequests returns how many requests of this router, and of all routers, run at the
+// service's servers.
+func (p *Picker) runningRequests(service string) (own, all int) {
 	for _, s := range p.busy {
-		if s.takes && s.Service == service {
-			own += s.own.Running
+		if s.accepts && s.Service == service {
+			own += s.ownLoad.Running
 		}
 	}
 	all = own
 	for s := range p.loaded {
-		if s.takes && s.Service == service {
-			all += s.peers.Running
+		if s.accepts && s.Service == service {
+			all += s.peerLoad.Running
 		}
 	}
-	for _, report := range p.peers {
-		all += report.light[service]
+	for _, report := range p.peerLoads {
+		all += report.lightRequests[service]
 	}
 	return own, all
 }
--- a/internal/core/pick/cache_test.go
+++ b/internal/core/pick/cache_test.go
@@ -11,114 +11,114 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// send places the request at the server of the ID, whatever the choice were.
-func send(p *Picker, id string, req Request, ms int) {
+// sendTo completes a request at the server with the ID, regardless of what Choose would return.
+func sendTo(p *Picker, id string, req Request, ms int) {
 	c := Choice{Server: p.servers[id].Server}
 	p.End(p.Begin(req, c, at(ms)), Succeeded, at(ms))
 }
 
-// other returns an engine that is neither of the prompt's homes.
-func other(p *Picker, prompt []routing.Part) *server {
-	at := p.homes(Request{Prompt: prompt}, p.services["llm"], start)
+// engineNotHome returns an engine that is not a home of the prompt.
+func engineNotHome(p *Picker, prompt []routing.Part) *server {
+	promptHomes := p.homes(Request{Prompt: prompt}, p.services["llm"], start)
 	for _, s := range p.services["llm"] {
-		if !slices.Contains(at.each(), s) {
+		if !slices.Contains(promptHomes.list(), s) {
 			return s
 		}
 	}
 	return nil
 }
 
-// The pattern: a subject's home was passed over, another engine has read it. A router
-// that heard of it has the home fetch the shared parts there. Before routers told
-// each other, of the shared tokens that were read again some two thirds were read at a
-// home, or after a fetch from a home, that had never been sent them (a log of 7,300
-// prompts of 9 engines and 8 routers).
-func TestAHomeThatNeverReadAPartFetchesIt(t *testing.T) {
-	a, b := picker(9), pickerOf(9, 5)
+// Guards against reading shared parts again at a home that was passed over while another engine
+// has them cached: a router that received the report lets the home fetch them there. Before
+// routers exchanged these reports, about two thirds of the shared tokens that were read again were
+// read at a home, or after a fetch from a home, to which they had never been sent (log of 7,300
+// prompts with 9 engines and 8 routers).
+func TestHomeFetchesPartsFromReportedHolder(t *testing.T) {
+	reporter, receiver := newPicker(9), newSeededPicker(9, 5)
 	first := Request{Service: "llm", Prompt: prompt(1, 1)}
-	holder := other(a, first.Prompt)
-	send(a, holder.ID, first, 0)
-	b.Merge(a.TakePending(), at(20))
-	home := b.homes(first, b.services["llm"], start).first
+	holder := engineNotHome(reporter, first.Prompt)
+	sendTo(reporter, holder.ID, first, 0)
+	receiver.MergeParts(reporter.TakePendingParts(), at(20))
+	home := receiver.homes(first, receiver.services["llm"], start).first
 	next := Request{Service: "llm", Prompt: prompt(1, 2)}
-	b.keys = keys(nil, next.Prompt)
-	n := b.need(home, next, homes{first: home}, firstTokensPerMs, at(30))
-	assert.Equal(t, n.fetchAt, holder.Addr)
-	assert.Equal(t, n.fetched, 6300.0)
-	n = b.need(b.servers[holder.ID], next, homes{first: home}, firstTokensPerMs, at(30))
-	assert.Equal(t, n.fetchAt, "", "the holder has them")
-	assert.Equal(t, n.first+n.again, 2900.0)
+	receiver.promptKeys = appendPartKeys(nil, next.Prompt)
+	work := receiver.prefillWork(home, next, homes{first: home}, initialTokensPerMs, at(30))
+	assert.Equal(t, work.fetchFrom, holder.Addr)
+	assert.Equal(t, work.fetchedTokens, 6300.0)
+	work = receiver.prefillWork(receiver.servers[holder.ID], next, homes{first: home}, initialTokensPerMs, at(30))
+	assert.Equal(t, work.fetchFrom, "", "the holder has the parts cached")
+	assert.Equal(t, work.newTokens+work.recomputedTokens, 2900.0)
 }
 
-// A router tells of a part when it is new at a server, and again while it is in use:
-// a part of what each request would take.
-func TestPartsAreReportedAgainAQuarterOfALifeLater(t *testing.T) {
-	p := picker(9)
+// A part is advertised when it is new at a server, and repeatedly while it is in use, instead of
+// with every request.
+func TestPartsAreReadvertisedFourTimesPerLifetime(t *testing.T) {
+	p := newPicker(9)
 	req := Request{Service: "llm", Prompt: prompt(1, 1)}
-	told := 0
-	const every, over = 100, 60_000
-	for ms := 0; ms < over; ms += every {
-		send(p, "i-003", req, ms)
-		told += len(p.TakePending()[routing.Identity{ID: "i-003"}.Key()])
+	advertised := 0
+	const intervalMs, durationMs = 100, 60_000
+	for ms := 0; ms < durationMs; ms += intervalMs {
+		sendTo(p, "i-003", req, ms)
+		advertised += len(p.TakePendingParts()[routing.Identity{ID: "i-003"}.Key()])
 	}
-	assert.Equal(t, told, 2*advertiseAgain, "both shared parts, at the start and after each quarter of %s", mostLife)
+	assert.Equal(t, advertised, 2*advertisementsPerLifetime, "both shared parts, at the start and after each quarter of %s", maxLifetime)
 	small := Request{Service: "llm", Prompt: []routing.Part{{ID: "x", Tokens: 100}, {ID: "y", Tokens: 5000}}}
-	send(p, "i-004", small, over)
-	assert.Equal(t, len(p.TakePending()), 0, "what is not worth a fetch is not worth a report")
+	sendTo(p, "i-004", small, durationMs)
+	assert.Equal(t, len(p.TakePendingParts()), 0, "a part too small to fetch is not advertised")
 }
 
-// What one router heard it does not tell again.
-func TestWhatWasHeardIsNotReportedAgain(t *testing.T) {
-	a, b := picker(9), picker(9)
+// A router does not advertise what it learnt from another router.
+func TestMergedPartsAreNotReadvertised(t *testing.T) {
+	a, b := newPicker(9), newPicker(9)
 	req := Request{Service: "llm", Prompt: prompt(1, 1)}
-	send(a, "i-003", req, 0)
-	b.Merge(a.TakePending(), at(20))
-	send(b, "i-003", req, 40)
-	assert.Equal(t, len(b.TakePending()), 0)
+	sendTo(a, "i-003", req, 0)
+	b.MergeParts(a.TakePendingParts(), at(20))
+	sendTo(b, "i-003", req, 40)
+	assert.Equal(t, len(b.TakePendingParts()), 0)
 }
 
-// Engines that are filled fast keep a part for less time. 9 engines of 232,000 tokens
-// that one of two routers fills with 87,000 tokens a second keep what they read for 12 s.
-func TestTheLifeOfAPartFollowsTheFilling(t *testing.T) {
-	p := picker(9)
+// Engines that are filled quickly keep a part for less time. With 9 engines of 232,000 tokens, of
+// which one of two routers fills 87,000 tokens a second, parts are kept for 12 s.
+func TestCacheLifetimeFollowsFillRate(t *testing.T) {
+	p := newPicker(9)
 	for ms := 0; ms < 20_000; ms += 100 {
-		req := Request{Service: "llm", Prompt: []routing.Part{{ID: "shared", Tokens: 500}, {ID: "o", Tokens: 8000}}, Out: 200}
-		j := p.Begin(req, Choice{Server: p.servers["i-001"].Server, Missing: 8500}, at(ms))
-		p.PeerLoad("other", map[routing.ServerKey]Load{routing.Identity{ID: "i-001"}.Key(): {Running: 1}}, at(ms))
+		req := Request{Service: "llm", Prompt: []routing.Part{{ID: "shared", Tokens: 500}, {ID: "o", Tokens: 8000}}, MaxOutput: 200}
+		j := p.Begin(req, Choice{Server: p.servers["i-001"].Server, UncachedTokens: 8500}, at(ms))
+		p.SetPeerLoad("other", map[routing.ServerKey]Load{routing.Identity{ID: "i-001"}.Key(): {Running: 1}}, at(ms))
 		p.Tick(at(ms))
 		p.End(j, Succeeded, at(ms))
 	}
-	life := p.rate("llm").life
-	assert.Assert(t, life > 10*time.Second && life < 14*time.Second, "%s", life)
+	lifetime := p.speedOf("llm").lifetime
+	assert.Assert(t, lifetime > 10*time.Second && lifetime < 14*time.Second, "%s", lifetime)
 	req := Request{Service: "llm", Prompt: prompt(1, 1)}
-	send(p, "i-002", req, 20_000)
-	p.keys = keys(p.keys[:0], req.Prompt)
-	kept := func(ms int) int {
-		n, _ := p.servers["i-002"].cache.kept(req.Prompt, p.keys, life, at(ms))
+	sendTo(p, "i-002", req, 20_000)
+	p.promptKeys = appendPartKeys(p.promptKeys[:0], req.Prompt)
+	cachedAt := func(ms int) int {
+		n, _ := p.servers["i-002"].cache.cachedTokens(req.Prompt, p.promptKeys, lifetime, at(ms))
 		return n
 	}
-	assert.Equal(t, kept(29_000), 9200)
-	assert.Equal(t, kept(35_000), 0)
-	p.forgetParts(at(35_000))
-	assert.Equal(t, len(p.servers["i-002"].cache), 0, "what is not kept is not remembered")
+	assert.Equal(t, cachedAt(29_000), 9200)
+	assert.Equal(t, cachedAt(35_000), 0)
+	p.expireParts(at(35_000))
+	assert.Equal(t, len(p.servers["i-002"].cache), 0, "expired parts are removed")
 }
 
-// What waits to be told is bounded, also while nobody takes it.
+// The queue of parts to advertise is bounded, also if nothing takes them from it.
 func TestPendingPartsAreBounded(t *testing.T) {
-	p := picker(9)
-	for i := range 2 * pendingMost {
-		send(p, "i-003", Request{Service: "llm", Prompt: prompt(i, i)}, 0)
+	p := newPicker(9)
+	for i := range 2 * maxPendingParts {
+		sendTo(p, "i-003", Request{Service: "llm", Prompt: prompt(i, i)}, 0)
 	}
-	assert.Assert(t, len(p.TakePending()[routing.Identity{ID: "i-003"}.Key()]) <= pendingMost)
+	assert.Assert(t, len(p.TakePendingParts()[routing.Identity{ID: "i-003"}.Key()]) <= maxPendingParts)
 }
 
-// Whether a fetch is worth its setting up depends on how fast the engine reads. The
+// Whether a fetch is worth its setup time depends on the processing speed of the engine. The
 // engines move 0.25 to 2.4 us a token.
-func TestFetchesAreWorthMoreAtSlowEngines(t *testing.T) {
+func TestSlowEnginesFetchSmallerParts(t *testing.T) {
 	e := &routing.Engine{FetchPerToken: 250 * time.Nanosecond}
-	slow, fast := leastFetch(e, 38.7), leastFetch(e, 112)
+	slow, fast := minFetchTokens(e, 38.7), minFetchTokens(e, 112)
 	assert.Assert(t, slow > 50 && slow < 150, "%g", slow)
 	assert.Assert(t, fast > 250 && fast < 450, "%g", fast)
-	assert.Assert(t, math.IsInf(leastFetch(&routing.Engine{FetchPerToken: 10 * time.Microsecond}, 112), 1), "a slow link")
-	assert.Assert(t, math.IsInf(leastFetch(&routing.Engine{}, 112), 1), "no fetches")
+	assert.Assert(t, math.IsInf(minFetchTokens(&routing.Engine{FetchPerToken: 10 * time.Microsecond}, 112), 1), "a slow link")
+	assert.Assert(t, math.IsInf(minFetchTokens(&routing.Engine{}, 112), 1), "no fetches")
 }
--- a/internal/core/pick/choose.go
+++ b/internal/core/pick/choose.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// Choose returns the server with the least expected time: of a plain service any,
-// of engines one of the prompt's homes or of a few drawn at random, any if none of
-// these is good. ok is false if there is none that may be asked.
+// Choose returns the server with the lowest expected cost. For a plain service it prefers the
+// servers of the router's aperture; for engines, the homes of the prompt and a few random others.
+// It considers all servers if none of these is healthy. ok is false if no server may receive the
+// request.
 func (p *Picker) Choose(req Request, now time.Time) (best Choice, ok bool) {
-	if p.stale {
-		p.sumPeers(now)
+	if p.peerSumsStale {
+		p.sumPeerLoads(now)
 	}
-	list := p.services[req.list()]
-	if req.NewPart > 0 {
-		// As many of them as have the load of the others.
-		few := list[:int(math.Ceil(min(req.NewPart, 1)*float64(len(list))))]
-		p.keys = keys(p.keys[:0], req.Prompt)
-		return p.least(few, req, homes{}, now)
+	list := p.services[req.listName()]
+	if req.NewVersionShare > 0 {
+		// Limit the number of servers so that each gets as much load as one of the other version.
+		candidates := list[:int(math.Ceil(min(req.NewVersionShare, 1)*float64(len(list))))]
+		p.promptKeys = appendPartKeys(p.promptKeys[:0], req.Prompt)
+		return p.cheapest(candidates, req, homes{}, now)
 	}
-	if req.Apart && len(list) > 0 {
-		best, ok = p.least(p.drawMore(nil, list, 1), req, homes{}, now)
+	if req.Isolated && len(list) > 0 {
+		best, ok = p.cheapest(p.addRandom(nil, list, 1), req, homes{}, now)
 		if ok && best.rank == rankGood && !best.Full {
 			return best, true
 		}
@@ -30,109 +31,109 @@
 	if len(list) > 0 && list[0].engine == nil {
 		return p.choosePlain(list, req, now)
 	}
-	p.keys = keys(p.keys[:0], req.Prompt)
-	at := p.homes(req, list, now)
-	if few := p.draw(list, at, now); len(few) > 0 {
-		best, ok = p.least(few, req, at, now)
-		if late(best, req) {
-			few = p.drawMore(few, list, lateDrawn)
-			best, ok = p.least(few, req, at, now)
+	p.promptKeys = appendPartKeys(p.promptKeys[:0], req.Prompt)
+	promptHomes := p.homes(req, list, now)
+	if candidates := p.drawCandidates(list, promptHomes, now); len(candidates) > 0 {
+		best, ok = p.cheapest(candidates, req, promptHomes, now)
+		if missesTarget(best, req) {
+			candidates = p.addRandom(candidates, list, extraDrawn)
+			best, ok = p.cheapest(candidates, req, promptHomes, now)
 		}
 		if ok && best.rank == rankGood {
 			return best, true
 		}
 	}
-	if len(list) > scanMost {
-		best, ok = p.least(p.drawMore(nil, list, sampled), req, at, now)
+	if len(list) > maxFullScan {
+		best, ok = p.cheapest(p.addRandom(nil, list, sampleSize), req, promptHomes, now)
 		if ok && best.rank == rankGood {
 			return best, true
 		}
 	}
-	return p.least(list, req, at, now)
+	return p.cheapest(list, req, promptHomes, now)
 }
 
-// choosePlain returns the least loaded of the plain servers that this router prefers. If none
-// of them is good and has a free slot it looks at those of its data centre, and then at all.
+// choosePlain returns the least loaded plain server of this router's aperture. If none of them is
+// healthy with a free slot, it considers the servers of its data centre, and then all.
 func (p *Picker) choosePlain(list []*server, req Request, now time.Time) (best Choice, ok bool) {
 	if len(list) <= apertureSize {
-		return p.least(list, req, homes{}, now)
+		return p.cheapest(list, req, homes{}, now)
 	}
-	for _, few := range [][]*server{p.aperture(list, req.Service), p.nearby[req.Service]} {
-		if len(few) == 0 {
+	for _, candidates := range [][]*server{p.aperture(list, req.Service), p.nearby[req.Service]} {
+		if len(candidates) == 0 {
 			continue
 		}
-		best, ok = p.least(few, req, homes{}, now)
+		best, ok = p.cheapest(candidates, req, homes{}, now)
 		if ok && best.rank == rankGood && best.Wait == 0 {
 			return best, true
 		}
 	}
-	return p.least(list, req, homes{}, now)
+	return p.cheapest(list, req, homes{}, now)
 }
 
-// aperture returns the plain servers that this router prefers, drawn by rendezvous hashing.
+// aperture returns the plain servers that this router prefers, selected by rendezvous hashing.
 func (p *Picker) aperture(list []*server, service string) []*server {
-	if few := p.apertures[service]; few != nil {
-		return few
+	if preferred := p.apertures[service]; preferred != nil {
+		return preferred
 	}
-	from := p.nearby[service]
-	if len(from) == 0 {
-		from = list
+	candidates := p.nearby[service]
+	if len(candidates) == 0 {
+		candidates = list
 	}
-	few := slices.Clone(from)
-	slices.SortFunc(few, func(a, b *server) int { return cmp.Compare(mix(p.place, a.hash), mix(p.place, b.hash)) })
-	few = few[:min(apertureSize, len(few))]
-	p.apertures[service] = few
-	return few
+	preferred := slices.Clone(candidates)
+	slices.SortFunc(preferred, func(a, b *server) int { return cmp.Compare(hashPair(p.seed, a.hash), hashPair(p.seed, b.hash)) })
+	preferred = preferred[:min(apertureSize, len(preferred))]
+	p.apertures[service] = preferred
+	return preferred
 }
 
-// draw returns the homes and a few others, none if the list is too short for it.
-func (p *Picker) draw(list []*server, at homes, now time.Time) []*server {
-	if len(list) <= othersDrawn {
+// drawCandidates returns the homes and a few other servers, or none if the list is too short.
+func (p *Picker) drawCandidates(list []*server, promptHomes homes, now time.Time) []*server {
+	if len(list) <= randomDrawn {
 		return nil
 	}
-	few := at.each()
-	return p.drawCold(p.drawMore(few, list, othersDrawn), list[0].Service, now)
+	drawn := promptHomes.list()
+	return p.addColdWithPermits(p.addRandom(drawn, list, randomDrawn), list[0].Service, now)
 }
 
-// drawMore adds up to n servers drawn at random.
-func (p *Picker) drawMore(few, list []*server, n int) []*server {
+// addRandom adds up to n random servers.
+func (p *Picker) addRandom(drawn, list []*server, n int) []*server {
 	for range n {
-		if s := list[p.rng.IntN(len(list))]; !slices.Contains(few, s) {
-			few = append(few, s)
+		if s := list[p.rng.IntN(len(list))]; !slices.Contains(drawn, s) {
+			drawn = append(drawn, s)
 		}
 	}
-	return few
+	return drawn
 }
 
-// late reports whether the request is a long one whose first token would come so late that
-// more servers are worth a look: it needs much of its time for itself and fits before few
-// queues. Short ones would only be spread away from their homes.
-func late(c Choice, req Request) bool {
-	target := float64(req.Target)
-	return target > 0 && float64(c.Own) > longPart*target && float64(c.Wait+c.Own) > inTimePart*target
+// missesTarget reports whether more servers should be considered because the first token of a long
+// request would be late: the request's own processing takes much of the target time, so it meets
+// the target only where the queue is short. Doing the same for short requests would only move them
+// away from their homes.
+func missesTarget(c Choice, req Request) bool {
+	target := float64(req.FirstTokenTarget)
+	return target > 0 && float64(c.Processing) > longRequestShare*target && float64(c.Wait+c.Processing) > targetShare*target
 }
 
-// least returns the server of the list with the least expected time among those
-// of the best rank.
-func (p *Picker) least(list []*server, req Request, at homes, now time.Time) (best Choice, ok bool) {
-	least := math.Inf(1)
+// cheapest returns the server with the lowest expected cost among those of the best rank.
+func (p *Picker) cheapest(list []*server, req Request, promptHomes homes, now time.Time) (best Choice, ok bool) {
+	lowest := math.Inf(1)
 	best.rank = math.MaxInt
 	candidates := 0
 	for _, s := range list {
-		if slices.Contains(req.Tried, s.ID) || !req.Homes.Allow(s.region) || p.bearsNone(s, now) || s.inBackoff(now) {
+		if slices.Contains(req.Tried, s.ID) || !req.AllowedRegions.Allow(s.region) || p.outOfPermits(s, now) || s.inBackoff(now) {
 			continue
 		}
-		r := p.rankOf(s, now)
-		if r > best.rank {
+		rank := p.rankOf(s, now)
+		if rank > best.rank {
 			continue
 		}
 		candidates++
-		c := p.expect(s, req, at, now)
-		cost := float64(c.Wait)/float64(time.Millisecond) + c.work + p.distance(s, req)
-		if r < best.rank || cost < least || cost == least && s.ID < best.Server.ID {
-			least = cost
+		c := p.estimate(s, req, promptHomes, now)
+		cost := float64(c.Wait)/float64(time.Millisecond) + c.costMs + p.distanceCost(s, req)
+		if rank < best.rank || cost < lowest || cost == lowest && s.ID < best.Server.ID {
+			lowest = cost
 			best = c
-			best.rank = r
+			best.rank = rank
 			ok = true
 		}
 	}
--- a/internal/core/pick/cold.go
+++ b/internal/core/pick/cold.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// unreachedMost is how many routers have to fail to connect to a server at a time for it to
-	// count as one that may come back cold, and unreachedPart the part of a service's servers
-	// above which that says more of the network than of servers. That it is late says nothing:
-	// a server with a long queue is.
-	unreachedMost = 2
-	unreachedPart = 2.0 / 3
-	// unreachedMore is what is added to the warm-up of such a server: it may be back for so
-	// long before its first request or entry shows it.
-	unreachedMore = time.Second
-	// coldDrawn is how many cold servers with a free permit a choice looks at.
-	coldDrawn = 2
+	// minConnectFailures is how many routers must fail to connect to a server at the same time for
+	// it to be marked as possibly cold when it returns. If more than maxUnreachableShare of a
+	// service's servers are affected, the network is the more likely cause and none is marked.
+	// Late responses do not count, since a server with a long queue is late too.
+	minConnectFailures  = 2
+	maxUnreachableShare = 2.0 / 3
+	// unreachableWarmupExtra is added to the warm-up of such a server, which may have been back
+	// for that long before its first request or entry shows it.
+	unreachableWarmupExtra = time.Second
+	// maxColdDrawn is how many cold servers with a free permit are considered for one request.
+	maxColdDrawn = 2
 )
 
-// SetFleet takes what is known of the routers among which permits are shared out.
+// SetFleet sets the fleet of routers that share the permits for cold servers.
 func (p *Picker) SetFleet(f *slowstart.Fleet) { p.fleet = f }
 
-// SetRollouts takes the roll-outs by which servers get requests or none. What changes there is in
-// force with the next list of servers.
-func (p *Picker) SetRollouts(l *rollout.List) { p.groups = l }
+// SetRollouts sets the roll-outs that determine which servers receive requests. Changes to the
+// list take effect with the next list of servers.
+func (p *Picker) SetRollouts(l *rollout.List) { p.rollouts = l }
 
-// SetBound takes by how much what cold servers bear may be exceeded.
+// SetBound sets by how much the request rate to cold servers may exceed their capacity.
 func (p *Picker) SetBound(b slowstart.Bound) {
-	p.bound = b
+	p.coldBound = b
 	for _, s := range p.servers {
 		p.describe(s)
 	}
 }
 
-// SetRegions takes the region of each data centre.
+// SetRegions sets the region of each data centre.
 func (p *Picker) SetRegions(regions map[string]string) { p.regions = regions }
 
-// SetEvacuated takes the evacuated data centres, in force with the next list of servers.
+// SetEvacuated sets the evacuated data centres. It takes effect with the next list of servers.
 func (p *Picker) SetEvacuated(dataCentres []string) {
 	clear(p.evacuated)
 	for _, dc := range dataCentres {
@@ -49,46 +49,46 @@
 	}
 }
 
-// TakenBack notes that the data centre's evacuation was taken back then: its servers may have
-// become cold meanwhile.
-func (p *Picker) TakenBack(dataCentre string, at, now time.Time) {
+// EvacuationCancelled records that the data centre's evacuation was cancelled at cancelledAt. Its
+// servers may have become cold without traffic.
+func (p *Picker) EvacuationCancelled(dataCentre string, cancelledAt, now time.Time) {
 	for _, s := range p.servers {
-		if s.DataCentre == dataCentre && s.bounded {
-			p.mark(s, slowstart.ByTakeBack, at.Add(p.specs[s.Service].SlowStart.For), now)
+		if s.DataCentre == dataCentre && s.hasColdBound {
+			p.markCold(s, slowstart.ByEvacuationCancelled, cancelledAt.Add(p.specs[s.Service].SlowStart.For), now)
 		}
 	}
 }
 
-// readWarmup applies the warm-up in the server's entry if the entry is new. An entry that was
+// applyEntryWarmup applies the warm-up in the server's entry if the entry is new. An entry that was
 // rewritten with the same warm-up also counts as new: the server may have become cold again.
-func (p *Picker) readWarmup(s *server, before routing.Server, now time.Time) {
-	if before.Identity() == s.Identity() && before.Warmup == s.Warmup && before.EntryVersion == s.EntryVersion {
+func (p *Picker) applyEntryWarmup(s *server, previous routing.Server, now time.Time) {
+	if previous.Identity() == s.Identity() && previous.Warmup == s.Warmup && previous.EntryVersion == s.EntryVersion {
 		return
 	}
 	if s.Warmup <= 0 {
 		s.cold.Clear(slowstart.ByEntry)
 		return
 	}
-	p.mark(s, slowstart.ByEntry, now.Add(s.Warmup), now)
+	p.markCold(s, slowstart.ByEntry, now.Add(s.Warmup), now)
 }
 
-// mark notes that the server is cold. What was sent to it a moment ago, when it was taken for
-// warm, counts against its bound.
-func (p *Picker) mark(s *server, by slowstart.Source, until, now time.Time) {
-	fresh := s.cold.Mark(by, until, now)
-	if s.cold.Is(now) {
+// markCold marks the server as cold. Requests that this router sent to it within the last window,
+// while it counted as warm, use up its permits.
+func (p *Picker) markCold(s *server, source slowstart.Source, until, now time.Time) {
+	isNew := s.cold.Mark(source, until, now)
+	if s.cold.Active(now) {
 		p.cold[s] = true
 	}
-	if !fresh {
+	if !isNew {
 		return
 	}
-	if now.Sub(s.sent) < slowstart.Window {
-		s.cold.Rest(s.permits, now)
+	if now.Sub(s.lastSent) < slowstart.Window {
+		s.cold.UseAll(s.permits, now)
 	}
-	p.warmups = append(p.warmups, Warmup{Server: s.Server, By: by, For: until.Sub(now)})
+	p.warmups = append(p.warmups, Warmup{Server: s.Server, Source: source, Duration: until.Sub(now)})
 }
 
-// TakeWarmups returns the servers that have become cold since it was called last, once.
+// TakeWarmups returns the servers that have become cold since the last call.
 func (p *Picker) TakeWarmups() []Warmup {
 	list := p.warmups
 	p.warmups = nil
@@ -98,179 +98,180 @@
 // Cold returns how many servers are cold.
 func (p *Picker) Cold(now time.Time) (n int) {
 	for _, s := range p.servers {
-		if s.cold.Is(now) {
+		if s.cold.Active(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// WarmingUp reports whether the server is slower than it will be: it has just started.
+// WarmingUp reports whether the server is cold and so slower than it will be.
 func (p *Picker) WarmingUp(id routing.Identity, now time.Time) bool {
-	return p.Known(id) && p.servers[id.ID].cold.Is(now)
+	return p.Known(id) && p.servers[id.ID].cold.Active(now)
 }
 
-// Versions returns how many requests run at the service's servers of other versions than to, and
-// how many servers of that one take requests or could.
-func (p *Picker) Versions(service, to string) (old, servers int) {
+// CountVersions returns how many requests run at the service's servers of versions other than the
+// given one, and how many servers of that version may receive requests.
+func (p *Picker) CountVersions(service, version string) (oldRunning, newServers int) {
 	for _, s := range p.servers {
 		switch {
 		case s.Service != service:
-		case s.Version != to:
-			old += s.own.Running + s.peers.Running
+		case s.Version != version:
+			oldRunning += s.ownLoad.Running + s.peerLoad.Running
 		case s.Server.Takes() && !s.unlisted && !p.evacuated[s.DataCentre]:
-			servers++
+			newServers++
 		}
 	}
-	return old, servers
+	return oldRunning, newServers
 }
 
-// onPermits reports whether requests go to the server on permits only.
-func (s *server) onPermits(now time.Time) bool { return s.bounded && s.cold.Is(now) }
+// needsPermit reports whether a request to the server requires a permit.
+func (s *server) needsPermit(now time.Time) bool { return s.hasColdBound && s.cold.Active(now) }
 
-// bearsNone reports whether nothing may be sent to the server by this router now, since it is
-// cold.
-func (p *Picker) bearsNone(s *server, now time.Time) bool {
-	return s.onPermits(now) && !s.cold.Free(p.slotsOf(s), now)
+// outOfPermits reports whether the server is cold and this router has no free permit for it.
+func (p *Picker) outOfPermits(s *server, now time.Time) bool {
+	return s.needsPermit(now) && !s.cold.Free(p.permitShare(s), now)
 }
 
-// slotsOf is how many of the server's permits are this router's.
-func (p *Picker) slotsOf(s *server) int {
-	if changes := p.fleet.Changes(); s.slotsAt != changes {
-		s.slotsAt = changes
-		s.slots = p.fleet.Slots(s.hash, s.permits)
+// permitShare returns how many of the server's permits belong to this router.
+func (p *Picker) permitShare(s *server) int {
+	if changes := p.fleet.Changes(); s.ownPermitsVersion != changes {
+		s.ownPermitsVersion = changes
+		s.ownPermits = p.fleet.PermitShare(s.hash, s.permits)
 	}
-	return s.slots
+	return s.ownPermits
 }
 
-// usePermit notes that a request is sent to the server, on a permit if that is cold.
-func (p *Picker) usePermit(s *server, now time.Time) {
-	s.sent = now
-	if s.onPermits(now) {
+// recordSend records that a request is sent to the server, and uses a permit if the server is
+// cold.
+func (p *Picker) recordSend(s *server, now time.Time) {
+	s.lastSent = now
+	if s.needsPermit(now) {
 		s.cold.Use(now)
 	}
 }
 
-// May reports whether a request that was placed then may still be sent to the server: that it
-// is listed and not in backoff, and warm or the request has a permit that counts.
-func (p *Picker) May(id routing.Identity, permit bool, placed, now time.Time) bool {
-	if !p.Takes(id) {
+// MaySend reports whether a request that was placed at placedAt may still be sent to the server.
+// The server must accept requests and not be in backoff; if it is cold, the request needs a permit
+// that is still valid.
+func (p *Picker) MaySend(id routing.Identity, hasPermit bool, placedAt, now time.Time) bool {
+	if !p.Accepts(id) {
 		return false
 	}
 	s := p.servers[id.ID]
 	if s.inBackoff(now) {
 		return false
 	}
-	if !s.onPermits(now) {
+	if !s.needsPermit(now) {
 		return true
 	}
-	return permit && now.Sub(placed) < slowstart.Window/2
+	return hasPermit && now.Sub(placedAt) < slowstart.Window/2
 }
 
-// unreachedBy is 1 if this router could not connect to the server a moment ago.
-func (s *server) unreachedBy(now time.Time) int {
-	if now.Before(s.unreached) {
+// connectFailed returns 1 if this router recently failed to connect to the server, else 0.
+func (s *server) connectFailed(now time.Time) int {
+	if now.Before(s.unreachableUntil) {
 		return 1
 	}
 	return 0
 }
 
-// noteUnreached marks the servers that routers can't reach: when they answer again they may
-// be cold, and no entry has said so yet.
-func (p *Picker) noteUnreached(now time.Time) {
-	unreached := map[string][]*server{}
-	note := func(s *server) {
-		if s.takes && s.bounded && s.peers.Unreached+s.unreachedBy(now) >= unreachedMost {
-			unreached[s.Service] = append(unreached[s.Service], s)
+// markUnreachableCold marks the servers that routers cannot connect to as cold: they may have
+// restarted when they answer again, before their entries say so.
+func (p *Picker) markUnreachableCold(now time.Time) {
+	unreachable := map[string][]*server{}
+	addIfUnreachable := func(s *server) {
+		if s.accepts && s.hasColdBound && s.peerLoad.ConnectFailures+s.connectFailed(now) >= minConnectFailures {
+			unreachable[s.Service] = append(unreachable[s.Service], s)
 		}
 	}
 	for s := range p.loaded {
-		note(s)
+		addIfUnreachable(s)
 	}
 	for _, s := range p.busy {
 		if !p.loaded[s] {
-			note(s)
+			addIfUnreachable(s)
 		}
 	}
-	for service, list := range unreached {
-		if float64(len(list)) > unreachedPart*float64(len(p.services[service])) {
+	for service, list := range unreachable {
+		if float64(len(list)) > maxUnreachableShare*float64(len(p.services[service])) {
 			continue
 		}
 		for _, s := range list {
-			p.mark(s, slowstart.BySuspicion, now.Add(p.specs[s.Service].SlowStart.For+unreachedMore), now)
+			p.markCold(s, slowstart.ByConnectFailures, now.Add(p.specs[s.Service].SlowStart.For+unreachableWarmupExtra), now)
 		}
 	}
 }
 
-// Lack is why no server of a service takes requests.
-type Lack int
+// UnavailableReason is the reason why no server of a service can receive a request.
+type UnavailableReason int
 
-// The reasons.
 const (
-	LackServers   Lack = iota // none is listed, or all were tried
-	LackEvacuated             // all stand in evacuated data centres
-	LackCold                  // all that may be asked are cold and get what they bear
-	LackHome                  // none stands in a region in which the request may be served
-	LackBackoff               // all that may be asked are in backoff or cold, and a backoff ends first
+	NoServers    UnavailableReason = iota // none is listed, or all were tried
+	AllEvacuated                          // all are in evacuated data centres
+	AllCold                               // all candidates are cold and at their rate limit
+	NoneInRegion                          // none is in a region in which the request may be served
+	AllInBackoff                          // all candidates are in backoff or cold, and a backoff ends first
 )
 
-// Lacks says why there is no server for a request, and when there may be one, if that is known.
-func (p *Picker) Lacks(req Request, now time.Time) (lack Lack, back time.Duration) {
-	listed, evacuated, home := 0, 0, 0
+// WhyUnavailable returns why there is no server for a request, and how long until there may be
+// one; 0 if unknown.
+func (p *Picker) WhyUnavailable(req Request, now time.Time) (reason UnavailableReason, wait time.Duration) {
+	listed, evacuated, inRegion := 0, 0, 0
 	var soonest time.Time
-	lack = LackServers
+	reason = NoServers
 	for _, s := range p.servers {
 		if s.Service != req.Service || !s.Server.Takes() || p.isLeaving(s.Identity()) {
 			continue
 		}
 		listed++
-		if !req.Homes.Allow(s.region) {
+		if !req.AllowedRegions.Allow(s.region) {
 			continue
 		}
-		home++
+		inRegion++
 		if p.evacuated[s.DataCentre] {
 			evacuated++
 			continue
 		}
 		until, why := s.blockedUntil(now)
 		if !until.IsZero() && (soonest.IsZero() || until.Before(soonest)) {
-			soonest, lack = until, why
+			soonest, reason = until, why
 		}
 	}
 	switch {
 	case listed == 0:
-		return LackServers, 0
-	case home == 0:
-		return LackHome, 0
-	case evacuated == home:
-		return LackEvacuated, 0
+		return NoServers, 0
+	case inRegion == 0:
+		return NoneInRegion, 0
+	case evacuated == inRegion:
+		return AllEvacuated, 0
 	case !soonest.IsZero():
-		return lack, soonest.Sub(now)
+		return reason, soonest.Sub(now)
 	}
-	return LackServers, 0
+	return NoServers, 0
 }
 
-// blockedUntil returns when a listed server takes requests without bound, and what blocks it until
-// then; a zero time if nothing does.
-func (s *server) blockedUntil(now time.Time) (until time.Time, why Lack) {
-	if s.onPermits(now) {
-		until, why = s.cold.Until(), LackCold
+// blockedUntil returns when a listed server accepts requests without limit, and what blocks it
+// until then; a zero time if nothing does.
+func (s *server) blockedUntil(now time.Time) (until time.Time, why UnavailableReason) {
+	if s.needsPermit(now) {
+		until, why = s.cold.Until(), AllCold
 	}
 	if s.inBackoff(now) && s.notice.backoffUntil.After(until) {
-		until, why = s.notice.backoffUntil, LackBackoff
+		until, why = s.notice.backoffUntil, AllInBackoff
 	}
 	return until, why
 }
 
-// drawCold adds cold servers that this router has a free permit for: no other router may use
-// it, so that they would idle.
-func (p *Picker) drawCold(few []*server, service string, now time.Time) []*server {
+// addColdWithPermits adds cold servers for which this router has a free permit. No other router
+// can use these permits, so the servers' allowed rate would otherwise stay unused.
+func (p *Picker) addColdWithPermits(drawn []*server, service string, now time.Time) []*server {
 	var free []*server
 	for s := range p.cold {
-		if s.takes && s.Service == service && s.onPermits(now) && !p.bearsNone(s, now) && !s.inBackoff(now) && !slices.Contains(few, s) {
+		if s.accepts && s.Service == service && s.needsPermit(now) && !p.outOfPermits(s, now) && !s.inBackoff(now) && !slices.Contains(drawn, s) {
 			free = append(free, s)
 		}
 	}
 	slices.SortFunc(free, byHash)
-	return append(few, free[:min(coldDrawn, len(free))]...)
+	return append(drawn, free[:min(maxColdDrawn, len(free))]...)
 }
--- a/internal/core/pick/cold_test.go
+++ b/internal/core/pick/cold_test.go
@@ -14,18 +14,19 @@
 )
 
 var (
-	bearing = routing.SlowStart{For: 3 * time.Second, PerSecond: 9.8}
-	bound   = slowstart.Bound{Over: 1.5, Slack: 5}
+	coldRate   = routing.SlowStart{For: 3 * time.Second, PerSecond: 9.8}
+	fleetBound = slowstart.Bound{Factor: 1.5, ExtraPerSecond: 5}
 )
 
-const allowed = 19 // requests a second by these
+const allowedPerSecond = 19 // requests per second by coldRate and fleetBound
 
-// warming is the picker of one of n routers before engines of which some are bounded.
-func warming(router, routers, engines int) *Picker {
+// pickerInFleet returns the picker of one of several routers in front of engines whose request
+// rate is limited while they are cold.
+func pickerInFleet(router, routers, engines int) *Picker {
 	p := New("dc0", rand.New(rand.NewPCG(uint64(router), 9)))
-	p.SetBound(bound)
-	p.SetServices([]routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 64, CacheTokens: 232000, FetchPerToken: 2383}, SlowStart: bearing}})
-	p.SetServers(enginesOf(engines, 0, 0), start)
+	p.SetBound(fleetBound)
+	p.SetServices([]routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 64, CacheTokens: 232000, FetchPerToken: 2383}, SlowStart: coldRate}})
+	p.SetServers(engineList(engines, 0, 0), start)
 	f := slowstart.NewFleet(fmt.Sprint("r", router))
 	var others []string
 	for i := range routers {
@@ -38,85 +39,85 @@
 	return p
 }
 
-// enginesOf lists n engines of which the first ones are cold.
-func enginesOf(n, cold int, left time.Duration) (list []routing.Server) {
+// engineList lists n engines, the first of which are cold.
+func engineList(n, cold int, warmup time.Duration) (list []routing.Server) {
 	for i := range n {
 		s := routing.Server{ID: fmt.Sprintf("i-%03d", i), Service: "llm", Addr: fmt.Sprint("a", i), DataCentre: fmt.Sprint("dc", i%3), Slots: 64, State: routing.ServerReady}
 		if i < cold {
-			s.Warmup = left
+			s.Warmup = warmup
 		}
 		list = append(list, s)
 	}
 	return list
 }
 
-// mostInASecond is the most of the times, in ms, within one second.
-func mostInASecond(times []int) (most int) {
+// maxPerSecond returns the highest number of the times, in ms, within one second.
+func maxPerSecond(times []int) (highest int) {
 	slices.Sort(times)
 	first := 0
 	for i, ms := range times {
 		for ms-times[first] >= 1000 {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
-// coldDay is a fleet before engines of which some become cold after a second. An engine reads
-// one prompt after the other; routers hear each 80 ms what waits at each.
-type coldDay struct {
+// coldFleet simulates routers and engines of which some become cold after a second. An engine
+// processes one prompt after the other, and the routers exchange their loads every 80 ms.
+type coldFleet struct {
 	pickers []*Picker
 	rng     *rand.Rand
 	ms      int
-	freeAt  map[string]int // when an engine has read what it has
-	begun   []begun
-	sent    map[string][]int // when each engine got its requests, from its turning cold on
+	idleAt  map[string]int // when each engine has finished its queue
+	running []runningRequest
+	sent    map[string][]int // when each engine got its requests since coldAtMs
 	refused int
 }
 
-// begun is a request at an engine.
-type begun struct {
-	p   *Picker
-	job *Job
-	due int
+// runningRequest is a request at an engine.
+type runningRequest struct {
+	picker *Picker
+	job    *Job
+	endsAt int
 }
 
 const (
-	turnMs  = 1000
-	coldMs  = 4000
-	readMs  = 38.7 // tokens a millisecond
-	perS    = 15   // requests a second for each engine
-	heardMs = 80
+	coldAtMs          = 1000
+	endMs             = 4000
+	tokensPerMs       = 38.7
+	requestsPerSecond = 15 // for each engine
+	reportIntervalMs  = 80
 )
 
-func newColdDay(routers, engines int) *coldDay {
-	d := &coldDay{rng: rand.New(rand.NewPCG(1, 1)), freeAt: map[string]int{}, sent: map[string][]int{}}
+func newColdFleet(routers, engines int) *coldFleet {
+	d := &coldFleet{rng: rand.New(rand.NewPCG(1, 1)), idleAt: map[string]int{}, sent: map[string][]int{}}
 	for i := range routers {
-		d.pickers = append(d.pickers, warming(i, routers, engines))
+		d.pickers = append(d.pickers, pickerInFleet(i, routers, engines))
 	}
 	return d
 }
 
-// play lets the engines get their requests until the cold ones are warm.
-func (d *coldDay) play(engines, cold int) {
-	for ; d.ms < coldMs; d.ms++ {
-		if d.ms == turnMs {
+// run sends requests until the cold engines are warm.
+func (d *coldFleet) run(engines, cold int) {
+	for ; d.ms < endMs; d.ms++ {
+		if d.ms == coldAtMs {
 			for _, p := range d.pickers {
-				p.SetServers(enginesOf(engines, cold, bearing.For), at(d.ms))
+				p.SetServers(engineList(engines, cold, coldRate.For), at(d.ms))
 			}
 		}
-		for d.rng.Float64() < float64(engines*perS)/1000/(1+float64(engines*perS)/1000) {
+		for d.rng.Float64() < float64(engines*requestsPerSecond)/1000/(1+float64(engines*requestsPerSecond)/1000) {
 			d.place(d.pickers[d.rng.IntN(len(d.pickers))])
 		}
-		d.end()
-		if d.ms%heardMs == 0 {
-			d.report()
+		d.endFinished()
+		if d.ms%reportIntervalMs == 0 {
+			d.exchangeReports()
 		}
 	}
 }
 
-func (d *coldDay) place(p *Picker) {
+func (d *coldFleet) place(p *Picker) {
 	req := Request{Service: "llm", Prompt: prompt(d.rng.IntN(200), d.rng.IntN(1<<30))}
 	c, ok := p.Choose(req, at(d.ms))
 	if !ok {
@@ -124,27 +125,27 @@
 		return
 	}
 	id := c.Server.ID
-	d.freeAt[id] = max(d.freeAt[id], d.ms) + int(float64(c.Missing)/readMs)
-	d.begun = append(d.begun, begun{p, p.Begin(req, c, at(d.ms)), d.freeAt[id]})
-	if d.ms >= turnMs {
+	d.idleAt[id] = max(d.idleAt[id], d.ms) + int(float64(c.UncachedTokens)/tokensPerMs)
+	d.running = append(d.running, runningRequest{p, p.Begin(req, c, at(d.ms)), d.idleAt[id]})
+	if d.ms >= coldAtMs {
 		d.sent[id] = append(d.sent[id], d.ms)
 	}
 }
 
-// end ends what has been read.
-func (d *coldDay) end() {
-	d.begun = slices.DeleteFunc(d.begun, func(b begun) bool {
-		if b.due > d.ms {
+// endFinished ends the requests whose prompts have been processed.
+func (d *coldFleet) endFinished() {
+	d.running = slices.DeleteFunc(d.running, func(b runningRequest) bool {
+		if b.endsAt > d.ms {
 			return false
 		}
-		b.p.First(b.job, at(d.ms))
-		b.p.End(b.job, Succeeded, at(d.ms))
+		b.picker.NoteFirstEvent(b.job, at(d.ms))
+		b.picker.End(b.job, Succeeded, at(d.ms))
 		return true
 	})
 }
 
-// report tells every router what all others have waiting.
-func (d *coldDay) report() {
+// exchangeReports gives every router the total load of the others.
+func (d *coldFleet) exchangeReports() {
 	total := map[routing.ServerKey]Load{}
 	for _, p := range d.pickers {
 		for key, l := range p.Loads(at(d.ms)) {
@@ -155,119 +156,120 @@
 		others := map[routing.ServerKey]Load{}
 		own := p.Loads(at(d.ms))
 		for key, l := range total {
-			others[key] = l.Less(own[key])
+			others[key] = l.Minus(own[key])
 		}
-		p.PeerLoad("others", others, at(d.ms))
+		p.SetPeerLoad("others", others, at(d.ms))
 	}
 }
 
-// No router sees more than a part of what a server gets: one that has turned cold after it got
-// its usual 15 requests a second, a third of all, or all at once.
-func TestColdServersGetWhatTheyBearFromAllRouters(t *testing.T) {
+// Guards against overloading cold servers, since each router sees only a part of the requests that
+// a server gets: one server, a third of them, or all become cold after getting their usual 15
+// requests a second.
+func TestColdServersStayWithinBoundAcrossRouters(t *testing.T) {
 	const engines = 60
 	for _, routers := range []int{8, 91, 295} {
 		for _, cold := range []int{1, 20, engines} {
-			d := newColdDay(routers, engines)
-			d.play(engines, cold)
-			most, all := 0, 0
+			d := newColdFleet(routers, engines)
+			d.run(engines, cold)
+			highest, total := 0, 0
 			for i := range cold {
-				times := d.sent[fmt.Sprintf("i-%03d", i)]
-				most = max(most, mostInASecond(times))
-				all += len(times)
+				sentAt := d.sent[fmt.Sprintf("i-%03d", i)]
+				highest = max(highest, maxPerSecond(sentAt))
+				total += len(sentAt)
 			}
 			t.Logf("%d routers, %d of %d cold: at most %d in a second of %d allowed, %.1f a second each on average, %d refused",
-				routers, cold, engines, most, allowed, float64(all)/float64(cold)/3, d.refused)
-			assert.Assert(t, most <= allowed)
-			assert.Assert(t, all > 0, "nothing of the allowance is used")
+				routers, cold, engines, highest, allowedPerSecond, float64(total)/float64(cold)/3, d.refused)
+			assert.Assert(t, highest <= allowedPerSecond)
+			assert.Assert(t, total > 0, "cold servers get no requests")
 		}
 	}
 }
 
-// A server that nobody could connect to may be cold when it answers again, whatever its entry
-// says; one that is only late, or that one router alone can't reach, is not taken for it.
-func TestAServerThatCouldNotBeReachedComesBackCold(t *testing.T) {
-	p := warming(0, 91, 9)
+// A server to which several routers failed to connect may be cold when it answers again, whatever
+// its entry says. One that is only late, or that a single router cannot reach, is not marked.
+func TestUnreachableServerIsMarkedCold(t *testing.T) {
+	p := pickerInFleet(0, 91, 9)
 	s := p.servers["i-004"]
-	p.PeerLoad("a", map[routing.ServerKey]Load{s.key: {Suspects: 4}}, at(0))
-	p.sumPeers(at(0))
-	p.judge(s, Unreached, at(0))
-	p.noteUnreached(at(0))
-	assert.Assert(t, !s.cold.Is(at(1)))
-	p.PeerLoad("a", map[routing.ServerKey]Load{s.key: {Unreached: 1}}, at(10))
-	p.sumPeers(at(10))
-	assert.Assert(t, s.cold.Is(at(11)))
-	assert.Assert(t, s.cold.Is(at(3900)) && !s.cold.Is(at(4100)))
+	p.SetPeerLoad("a", map[routing.ServerKey]Load{s.key: {Suspicions: 4}}, at(0))
+	p.sumPeerLoads(at(0))
+	p.updateHealth(s, ConnectFailed, at(0))
+	p.markUnreachableCold(at(0))
+	assert.Assert(t, !s.cold.Active(at(1)))
+	p.SetPeerLoad("a", map[routing.ServerKey]Load{s.key: {ConnectFailures: 1}}, at(10))
+	p.sumPeerLoads(at(10))
+	assert.Assert(t, s.cold.Active(at(11)))
+	assert.Assert(t, s.cold.Active(at(3900)) && !s.cold.Active(at(4100)))
 	for _, s := range p.servers {
-		p.judge(s, Unreached, at(9000))
-		s.peers.Unreached = 5
+		p.updateHealth(s, ConnectFailed, at(9000))
+		s.peerLoad.ConnectFailures = 5
 	}
-	p.noteUnreached(at(9000))
+	p.markUnreachableCold(at(9000))
 	assert.Equal(t, p.Cold(at(9001)), 0, "this router is cut off")
 }
 
-// What its entry says counts from when it is news; an entry read again says nothing new.
-func TestAServersEntrySaysHowLongItIsCold(t *testing.T) {
-	p := warming(0, 1, 9)
-	p.SetServers(enginesOf(9, 1, time.Second), at(0))
-	p.SetServers(enginesOf(9, 1, time.Second), at(900))
+// The warm-up in an entry counts from when the entry is new; reading it again does not extend it.
+func TestEntryWarmupSetsColdPeriod(t *testing.T) {
+	p := pickerInFleet(0, 1, 9)
+	p.SetServers(engineList(9, 1, time.Second), at(0))
+	p.SetServers(engineList(9, 1, time.Second), at(900))
 	assert.Equal(t, p.Cold(at(999)), 1)
 	assert.Equal(t, p.Cold(at(1000)), 0)
-	p.SetServers(enginesOf(9, 1, 5*time.Second), at(2000))
-	p.SetServers(enginesOf(9, 0, 0), at(2500))
-	assert.Equal(t, p.Cold(at(2501)), 0, "it says that it is warm")
+	p.SetServers(engineList(9, 1, 5*time.Second), at(2000))
+	p.SetServers(engineList(9, 0, 0), at(2500))
+	assert.Equal(t, p.Cold(at(2501)), 0, "the entry has no warm-up")
 }
 
-// A data centre that was evacuated comes back cold, for as long as its servers may be.
-func TestServersOfADataCentreThatIsBackAreCold(t *testing.T) {
-	p := warming(0, 1, 9)
+// The servers of a data centre are cold for their full warm-up after its evacuation is cancelled.
+func TestServersAreColdAfterEvacuationIsCancelled(t *testing.T) {
+	p := pickerInFleet(0, 1, 9)
 	p.SetEvacuated([]string{"dc1"})
-	p.SetServers(enginesOf(9, 0, 0), at(0))
-	assert.Assert(t, !p.Takes(routing.Identity{ID: "i-001"}))
+	p.SetServers(engineList(9, 0, 0), at(0))
+	assert.Assert(t, !p.Accepts(routing.Identity{ID: "i-001"}))
 	p.SetEvacuated(nil)
-	p.SetServers(enginesOf(9, 0, 0), at(1000))
-	p.TakenBack("dc1", at(1000), at(1000))
+	p.SetServers(engineList(9, 0, 0), at(1000))
+	p.EvacuationCancelled("dc1", at(1000), at(1000))
 	assert.Equal(t, p.Cold(at(1001)), 3)
 	assert.Equal(t, p.Cold(at(4001)), 0)
 }
 
-// A placed request is not sent once its server has become cold, unless it has a permit.
-func TestAPlacedRequestIsAskedAgainBeforeItIsSent(t *testing.T) {
-	p := warming(0, 1, 1)
+// A placed request is not sent if its server has become cold since, unless it has a permit.
+func TestPlacedRequestIsRecheckedBeforeSending(t *testing.T) {
+	p := pickerInFleet(0, 1, 1)
 	req := Request{Service: "llm", Prompt: prompt(1, 1)}
 	warm := choose(t, p, req, 0)
-	assert.Assert(t, !warm.Cold && p.May(warm.Server.Identity(), warm.Cold, at(0), at(10)))
-	p.SetServers(enginesOf(1, 1, time.Second), at(20))
-	assert.Assert(t, !p.May(warm.Server.Identity(), warm.Cold, at(0), at(30)))
+	assert.Assert(t, !warm.Cold && p.MaySend(warm.Server.Identity(), warm.Cold, at(0), at(10)))
+	p.SetServers(engineList(1, 1, time.Second), at(20))
+	assert.Assert(t, !p.MaySend(warm.Server.Identity(), warm.Cold, at(0), at(30)))
 	cold := choose(t, p, req, 30)
-	assert.Assert(t, cold.Cold && p.May(cold.Server.Identity(), cold.Cold, at(30), at(100)))
-	assert.Assert(t, !p.May(cold.Server.Identity(), cold.Cold, at(30), at(900)), "its permit is used up by then")
+	assert.Assert(t, cold.Cold && p.MaySend(cold.Server.Identity(), cold.Cold, at(30), at(100)))
+	assert.Assert(t, !p.MaySend(cold.Server.Identity(), cold.Cold, at(30), at(900)), "its permit has expired")
 	for range 9 {
 		p.Begin(req, cold, at(40))
 	}
 	_, ok := p.Choose(req, at(50))
 	assert.Assert(t, !ok)
-	lack, back := p.Lacks(req, at(50))
-	assert.Equal(t, lack, LackCold)
-	assert.Equal(t, back, 970*time.Millisecond)
+	reason, wait := p.WhyUnavailable(req, at(50))
+	assert.Equal(t, reason, AllCold)
+	assert.Equal(t, wait, 970*time.Millisecond)
 }
 
-// Prompts keep to their homes, and fetch nothing from elsewhere.
-func TestHomesBindChoiceAndFetch(t *testing.T) {
-	p := warming(0, 1, 9)
+// A request is served only in its allowed regions, and fetches parts only from there.
+func TestAllowedRegionsRestrictChoiceAndFetch(t *testing.T) {
+	p := pickerInFleet(0, 1, 9)
 	p.SetRegions(map[string]string{"dc0": "east", "dc1": "west", "dc2": "west"})
-	p.SetServers(enginesOf(9, 0, 0), at(0))
+	p.SetServers(engineList(9, 0, 0), at(0))
 	for i := range 50 {
 		req := Request{Service: "llm", Prompt: prompt(1, i)}
 		p.Begin(req, choose(t, p, req, i), at(i))
-		req.Homes = routing.Homes{"east"}
+		req.AllowedRegions = routing.Homes{"east"}
 		c := choose(t, p, req, i)
 		assert.Equal(t, c.Server.DataCentre, "dc0")
 		for _, s := range p.servers {
-			assert.Assert(t, s.Addr != c.FetchAt || s.region == "east")
+			assert.Assert(t, s.Addr != c.FetchFrom || s.region == "east")
 		}
 	}
-	lack, _ := p.Lacks(Request{Service: "llm", Homes: routing.Homes{}}, at(0))
-	assert.Equal(t, lack, LackHome)
-	_, ok := p.Choose(Request{Service: "llm", Homes: routing.Homes{}}, at(0))
+	reason, _ := p.WhyUnavailable(Request{Service: "llm", AllowedRegions: routing.Homes{}}, at(0))
+	assert.Equal(t, reason, NoneInRegion)
+	_, ok := p.Choose(Request{Service: "llm", AllowedRegions: routing.Homes{}}, at(0))
 	assert.Assert(t, !ok)
 }
--- a/internal/core/pick/health.go
+++ b/internal/core/pick/health.go
@@ -2,112 +2,114 @@
 
 import "time"
 
-// How good a server is for a request; the lowest is chosen.
+// Ranks of a server by its health; servers with the lowest rank are preferred.
 const (
 	rankGood  = 0
-	rankTrial = 1 // suspected until now: one request at a time
-	rankBad   = 2 // suspected
+	rankTrial = 1 // recently full: only if no good server is left
+	rankBad   = 2 // suspected, or a trial request is running
 )
 
 const (
-	// firstSuspicion is how long a server is passed over after a failure.
+	// firstSuspicion is how long a server is passed over after the first failure.
 	firstSuspicion = 1200 * time.Millisecond
-	// longestSuspicion bounds the doubling with each further failure.
+	// longestSuspicion caps the duration, which doubles with each further failure.
 	longestSuspicion = 6 * time.Second
-	// maxDoublings keeps the doubling within longestSuspicion.
+	// maxDoublings bounds the shift that computes the duration.
 	maxDoublings = 3
-	// clearedBy is how many successes in a row end the memory of failures.
-	clearedBy = 4
-	// suspectedBy is how many other routers have to suspect a server at a time, each by
-	// what it saw itself, for this one to pass it over too. Of 295 routers each asks one
-	// of 160 engines once in 25 s: what each has to find out by itself costs a request
-	// at each router. One may be cut off and suspect all.
-	suspectedBy = 2
-	// suspectedPart is the part of a service's servers above which other routers'
-	// suspicions don't count: then it is they that are cut off, or all is to be tried.
-	suspectedPart = 1.0 / 3
-	// busyFor is how long a server that refused for being full is passed over.
-	busyFor = 60 * time.Millisecond
+	// successesToClear is the number of consecutive successes that reset the failure count.
+	successesToClear = 4
+	// minPeerSuspicions is how many other routers must suspect a server, each from its own
+	// requests, for this router to pass it over too. In a fleet of 295 routers and 160 engines, a
+	// router sends to a given engine once in 25 s, so detecting a failure alone would cost every
+	// router a request. The reports of a single router are ignored, since it may be cut off and
+	// suspect all servers.
+	minPeerSuspicions = 2
+	// maxSuspectedShare is the share of a service's servers above which the suspicions of other
+	// routers are ignored: either those routers are cut off, or every server has to be tried.
+	maxSuspectedShare = 1.0 / 3
+	// fullPause is how long a server that refused a request because it was full is passed over.
+	fullPause = 60 * time.Millisecond
 )
 
-// health is what the exchanges with a server say of it; nothing else is asked.
+// health is the state of a server as derived from requests; there are no health checks.
 type health struct {
-	until   time.Time // suspected until then
-	busy    time.Time // full until then
-	strikes int       // failures since it was last cleared
-	good    int       // successes in a row
-	trying  bool      // a trial request is on its way
+	suspectedUntil time.Time
+	fullUntil      time.Time
+	failures       int  // since the server was last cleared
+	successes      int  // consecutive
+	trialRunning   bool // a trial request has been sent and not answered
 }
 
-// rank says how good the server is at the moment.
+// rank returns the current rank of the server.
 func (h *health) rank(now time.Time) int {
 	switch {
-	case now.Before(h.until):
+	case now.Before(h.suspectedUntil):
 		return rankBad
-	case h.strikes > 0 && h.trying && h.good == 0:
+	case h.failures > 0 && h.trialRunning && h.successes == 0:
 		return rankBad
-	case now.Before(h.busy):
+	case now.Before(h.fullUntil):
 		return rankTrial
 	}
 	return rankGood
 }
 
-// failed notes a failure and reports whether the server is newly suspected.
-func (h *health) failed(now time.Time) bool {
-	fresh := !now.Before(h.until)
-	h.good = 0
-	h.trying = false
-	if fresh {
-		h.strikes++
+// recordFailure records a failure and reports whether the server is newly suspected.
+func (h *health) recordFailure(now time.Time) bool {
+	newlySuspected := !now.Before(h.suspectedUntil)
+	h.successes = 0
+	h.trialRunning = false
+	if newlySuspected {
+		h.failures++
 	}
-	wait := firstSuspicion << min(max(h.strikes-1, 0), maxDoublings)
-	h.until = now.Add(min(wait, longestSuspicion))
-	return fresh
+	duration := firstSuspicion << min(max(h.failures-1, 0), maxDoublings)
+	h.suspectedUntil = now.Add(min(duration, longestSuspicion))
+	return newlySuspected
 }
 
-// worked notes a success and reports whether it clears the server.
-func (h *health) worked() bool {
-	h.trying = false
-	h.good++
-	if h.strikes == 0 || h.good < clearedBy {
+// recordSuccess records a success and reports whether it clears the server.
+func (h *health) recordSuccess() bool {
+	h.trialRunning = false
+	h.successes++
+	if h.failures == 0 || h.successes < successesToClear {
 		return false
 	}
-	h.strikes = 0
+	h.failures = 0
 	return true
 }
 
-// full notes that the server refused for being full.
-func (h *health) full(now time.Time) { h.busy = now.Add(busyFor) }
+// recordFull records that the server refused a request because it was full.
+func (h *health) recordFull(now time.Time) { h.fullUntil = now.Add(fullPause) }
 
-// rankOf is how good the server is by what this router saw, and by what the others
-// report where it saw nothing bad.
+// rankOf returns the rank of the server by the requests of this router, and by the reports of
+// other routers if these requests show no problem.
 func (p *Picker) rankOf(s *server, now time.Time) int {
 	rank := s.health.rank(now)
-	if rank == rankGood && s.shunned {
+	if rank == rankGood && s.suspectedByPeers {
 		return rankBad
 	}
 	return rank
 }
 
-// judgeReports decides which servers are passed over for what other routers report.
-func (p *Picker) judgeReports() {
-	for _, s := range p.shunned {
-		s.shunned = false
+// updatePeerSuspicions determines which servers are passed over because other routers suspect
+// them.
+func (p *Picker) updatePeerSuspicions() {
+	for _, s := range p.suspectedByPeers {
+		s.suspectedByPeers = false
 	}
-	p.shunned = p.shunned[:0]
+	p.suspectedByPeers = p.suspectedByPeers[:0]
 	suspected := map[string][]*server{}
 	for s := range p.loaded {
-		if s.takes && s.peers.Suspects >= suspectedBy {
+		if s.accepts && s.peerLoad.Suspicions >= minPeerSuspicions {
 			suspected[s.Service] = append(suspected[s.Service], s)
 		}
 	}
 	for service, list := range suspected {
-		if float64(len(list)) > suspectedPart*float64(len(p.services[service])) {
+		if float64(len(list)) > maxSuspectedShare*float64(len(p.services[service])) {
 			continue
 		}
 		for _, s := range list {
-			s.shunned = true
+			s.suspectedByPeers = true
 		}
-		p.shunned = append(p.shunned, list...)
+		p.suspectedByPeers = append(p.suspectedByPeers, list...)
 	}
 }
--- a/internal/core/pick/index.go
+++ b/internal/core/pick/index.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// windowLeast is the least number of servers among which the homes of a prompt are sought:
-	// few enough for rendezvous hashing at each request, and many enough to spread the prompts
-	// of a lost server.
-	windowLeast = 128
-	// scanMost is the number of servers above which a choice does not look at all of them
-	// before it has looked at a sample of sampled.
-	scanMost = 256
-	sampled  = 64
-	// apertureSize is how many plain servers of its data centre a router prefers, so that it
-	// keeps connections to them (M. Ohta and others, Finagle's aperture balancers).
+	// minWindow is the minimum number of servers among which the homes of a prompt are selected:
+	// few enough to apply rendezvous hashing to each request, and enough to spread the prompts of
+	// a failed server.
+	minWindow = 128
+	// maxFullScan is the number of servers above which a random sample of sampleSize servers is
+	// considered before all of them.
+	maxFullScan = 256
+	sampleSize  = 64
+	// apertureSize is how many plain servers of its data centre a router prefers, so that it can
+	// keep connections to them open (M. Ohta and others, Finagle's aperture balancers).
 	apertureSize = 8
 )
 
@@ -34,7 +34,7 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
-// insert adds the server to a list in the order of hashes, unless it is there.
+// insert adds the server to a list sorted by hash, unless it is in it already.
 func insert(list []*server, s *server) []*server {
 	i, found := slices.BinarySearchFunc(list, s, byHash)
 	if found {
@@ -43,7 +43,7 @@
 	return slices.Insert(list, i, s)
 }
 
-// remove takes the server off a list in the order of hashes.
+// remove removes the server from a list sorted by hash.
 func remove(list []*server, s *server) []*server {
 	i, found := slices.BinarySearchFunc(list, s, byHash)
 	if !found || list[i] != s {
@@ -52,20 +52,20 @@
 	return slices.Delete(list, i, i+1)
 }
 
-// window returns the servers of a list in the order of hashes whose hashes begin with the same
-// bits as the key, as many bits as windowLeast servers share with it. Routers agree on it
-// without talking, and a server that comes or goes changes it for the keys near its own only.
+// window returns the servers whose hashes share a prefix with the key, from a list sorted by hash.
+// The prefix is as long as leaves at least minWindow servers. All routers compute the same window
+// without communicating, and adding or removing a server changes it only for keys near its hash.
 func window(list []*server, key uint64) []*server {
-	from := uint64(0)
+	start := uint64(0)
 	for bit := uint64(1) << 63; bit != 0; bit >>= 1 {
-		middle := from | bit
-		at, _ := slices.BinarySearchFunc(list, middle, func(s *server, hash uint64) int { return cmp.Compare(s.hash, hash) })
-		half := list[:at]
+		middle := start | bit
+		split, _ := slices.BinarySearchFunc(list, middle, func(s *server, hash uint64) int { return cmp.Compare(s.hash, hash) })
+		half := list[:split]
 		if key&bit != 0 {
-			half = list[at:]
-			from = middle
+			half = list[split:]
+			start = middle
 		}
-		if len(half) < windowLeast {
+		if len(half) < minWindow {
 			break
 		}
 		list = half
@@ -73,32 +73,32 @@
 	return list
 }
 
-// SetServers takes the whole list of servers that may get requests. What is known of servers
-// that stay is kept.
+// SetServers replaces the list of servers that may receive requests. The state of servers that
+// stay listed is kept.
 func (p *Picker) SetServers(list []routing.Server, now time.Time) {
 	clear(p.services)
 	clear(p.nearby)
-	p.round++
+	p.generation++
 	if len(p.servers) == 0 {
 		p.servers = make(map[string]*server, len(list))
-		p.keyed = make(map[routing.ServerKey]*server, len(list))
+		p.serversByKey = make(map[routing.ServerKey]*server, len(list))
 	}
 	for _, entry := range list {
 		s := p.update(entry, now)
-		s.round = p.round
-		if s.takes {
-			p.services[s.list] = append(p.services[s.list], s)
+		s.generation = p.generation
+		if s.accepts {
+			p.services[s.listName] = append(p.services[s.listName], s)
 		}
 	}
 	for _, s := range p.servers {
-		if s.round != p.round {
+		if s.generation != p.generation {
 			p.unlist(s)
 		}
 	}
 	for service, list := range p.services {
 		slices.SortFunc(list, byHash)
 		for _, s := range list {
-			if p.isNear(s) {
+			if p.isLocal(s) {
 				p.nearby[service] = append(p.nearby[service], s)
 			}
 		}
@@ -106,8 +106,7 @@
 	clear(p.apertures)
 }
 
-// ChangeServers takes entries that are new or have changed, and the IDs of servers that are
-// listed no more.
+// ChangeServers applies new and changed entries, and removes the servers with the IDs in gone.
 func (p *Picker) ChangeServers(changed []routing.Server, gone []string, now time.Time) {
 	for _, id := range gone {
 		if s := p.servers[id]; s != nil {
@@ -119,102 +118,104 @@
 		if s := p.servers[entry.ID]; s != nil {
 			p.unindex(s)
 		}
-		if s := p.update(entry, now); s.takes {
+		if s := p.update(entry, now); s.accepts {
 			p.index(s)
 		}
 	}
 }
 
-// index adds a server that takes requests to the lists of its service.
+// index adds a server that accepts requests to the lists of its service.
 func (p *Picker) index(s *server) {
-	delete(p.apertures, s.list)
-	p.services[s.list] = insert(p.services[s.list], s)
-	if p.isNear(s) {
-		p.nearby[s.list] = insert(p.nearby[s.list], s)
+	delete(p.apertures, s.listName)
+	p.services[s.listName] = insert(p.services[s.listName], s)
+	if p.isLocal(s) {
+		p.nearby[s.listName] = insert(p.nearby[s.listName], s)
 	}
 }
 
-// unindex takes a server off them.
+// unindex removes a server from the lists of its service.
 func (p *Picker) unindex(s *server) {
-	delete(p.apertures, s.list)
-	p.services[s.list] = remove(p.services[s.list], s)
-	p.nearby[s.list] = remove(p.nearby[s.list], s)
+	delete(p.apertures, s.listName)
+	p.services[s.listName] = remove(p.services[s.listName], s)
+	p.nearby[s.listName] = remove(p.nearby[s.listName], s)
 }
 
-// newList begins the name of the list of a service's servers that run a version to which its traffic
-// is being moved.
-const newList = "new "
+// newVersionPrefix begins the name of the list of servers that run the version to which the
+// traffic of their service is being moved.
+const newVersionPrefix = "new "
 
-// listName returns the name of a list of servers.
-func listName(service string, fresh bool) string {
-	if fresh {
-		return newList + service
+// listName returns the name of the list of the service's servers of the new version or of the
+// others.
+func listName(service string, newVersion bool) string {
+	if newVersion {
+		return newVersionPrefix + service
 	}
 	return service
 }
 
-// isNear reports whether the server stands in this router's data centre.
-func (p *Picker) isNear(s *server) bool { return s.DataCentre == p.dataCentre }
+// isLocal reports whether the server is in this router's data centre.
+func (p *Picker) isLocal(s *server) bool { return s.DataCentre == p.dataCentre }
 
-// hasNearHomes reports whether this data centre has homes of its own for the service's prompts.
-func (p *Picker) hasNearHomes(service string) bool {
+// hasLocalHomes reports whether this data centre has its own homes for the service's prompts.
+func (p *Picker) hasLocalHomes(service string) bool {
 	list := p.nearby[service]
-	return len(list) >= nearLeast && list[0].engine != nil
+	return len(list) >= minLocalEngines && list[0].engine != nil
 }
 
-// update takes an entry. A server that has started again under its ID is another one: its memory
-// is empty, nothing runs there, and what was believed of it was of the life before. Only its
-// homes stay, which go by the ID: they are where other routers look too.
+// update applies an entry. A server that has restarted under the same ID is a new server: its
+// cache is empty and no requests run there, so all state of the previous start is discarded. It
+// stays the home of the same prompts, since these depend on the ID, and other routers look there
+// too.
 func (p *Picker) update(entry routing.Server, now time.Time) *server {
 	s := p.servers[entry.ID]
 	if s != nil && s.Identity() != entry.Identity() {
-		s.takes = false
-		p.forgetServer(s) // its requests end by themselves, and are counted no more
+		s.accepts = false
+		p.forgetServer(s) // requests that are still running end without being counted
 		s = nil
 	}
 	if s == nil {
-		s = &server{slow: 1, key: entry.Identity().Key(), hash: xxhash.Sum64String(entry.ID), notice: p.notices[entry.Identity()]}
+		s = &server{slowness: 1, key: entry.Identity().Key(), hash: xxhash.Sum64String(entry.ID), notice: p.notices[entry.Identity()]}
 		p.servers[entry.ID] = s
-		p.keyed[s.key] = s
+		p.serversByKey[s.key] = s
 	}
-	before := s.Server
+	previous := s.Server
 	s.Server = entry
-	if entry.EntryVersion == 0 && before.Identity() == entry.Identity() {
-		s.EntryVersion = before.EntryVersion // from a router of an earlier release
+	if entry.EntryVersion == 0 && previous.Identity() == entry.Identity() {
+		s.EntryVersion = previous.EntryVersion // set by a router of an earlier release
 	}
-	p.clearIfReadyAgain(s, before)
-	if s.unlisted || !before.Takes() || before.Identity() != entry.Identity() {
+	p.clearIfReadyAgain(s, previous)
+	if s.unlisted || !previous.Takes() || previous.Identity() != entry.Identity() {
 		s.readySince = now
 	}
 	s.unlisted = false
-	group := p.groups.Group(entry.Service, entry.Version)
-	s.list = listName(entry.Service, group == rollout.New)
-	s.takes = entry.Takes() && !p.evacuated[entry.DataCentre] && !p.isLeaving(entry.Identity()) && group != rollout.None
+	group := p.rollouts.Group(entry.Service, entry.Version)
+	s.listName = listName(entry.Service, group == rollout.New)
+	s.accepts = entry.Takes() && !p.evacuated[entry.DataCentre] && !p.isLeaving(entry.Identity()) && group != rollout.None
 	s.region = p.regions[entry.DataCentre]
 	p.describe(s)
-	p.readWarmup(s, before, now)
+	p.applyEntryWarmup(s, previous, now)
 	return s
 }
 
-// unlist notes that the server is listed no more. It is forgotten once nothing of this router
-// runs there.
+// unlist marks the server as no longer listed. It is removed once no requests of this router run
+// there.
 func (p *Picker) unlist(s *server) {
-	s.takes = false
+	s.accepts = false
 	s.unlisted = true
-	if s.own.Running == 0 {
+	if s.ownLoad.Running == 0 {
 		p.forgetServer(s)
 	}
 }
 
-// forgetServer drops a server that is not listed any more.
+// forgetServer removes a server that is no longer listed.
 func (p *Picker) forgetServer(s *server) {
 	delete(p.servers, s.ID)
 	delete(p.busy, s.key)
 	delete(p.loaded, s)
-	delete(p.slowed, s)
-	delete(p.caching, s)
+	delete(p.slow, s)
+	delete(p.withCache, s)
 	delete(p.cold, s)
-	if p.keyed[s.key] == s {
-		delete(p.keyed, s.key)
+	if p.serversByKey[s.key] == s {
+		delete(p.serversByKey, s.key)
 	}
 }
--- a/internal/core/pick/job.go
+++ b/internal/core/pick/job.go
@@ -7,199 +7,199 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// Outcome is what became of a request at a server.
+// Outcome is the result of a request at a server.
 type Outcome int
 
-// The outcomes.
 const (
-	Succeeded Outcome = iota + 1 // a complete response
-	Unreached                    // no connection could be opened
-	Failed                       // no answer, a broken one, or a failure of the server
-	Full                         // it said that it has no room
-	Leaving                      // another server has the address, or it is gone
-	Abandoned                    // the caller left or the time was over: no verdict
+	Succeeded     Outcome = iota + 1 // a complete response
+	ConnectFailed                    // no connection could be opened
+	Failed                           // no answer, an incomplete one, or a server error
+	Full                             // the server refused the request because it was full
+	ServerGone                       // another server has the address, or the server no longer exists
+	Abandoned                        // the caller left or the deadline passed; says nothing about the server
 )
 
 const (
-	// learn is the weight of one observation of a speed.
-	learn = 0.1
-	// slowest bounds how slow a server counts.
-	slowest = 12.0
-	// reactMs is added to both sides of a comparison of times, the way there and
-	// back: a few milliseconds more say nothing of a server.
-	reactMs = 10.0
+	// slownessWeight is the weight of one observation in the moving average of a server's
+	// slowness.
+	slownessWeight = 0.1
+	// maxSlowness caps the slowness of a server.
+	maxSlowness = 12.0
+	// networkSlackMs is added to both the measured and the expected time before they are compared,
+	// so that a few milliseconds on the network do not make a server count as slow.
+	networkSlackMs = 10.0
 )
 
 // Job is one request at one server.
 type Job struct {
-	s       *server
-	service string
-	prompt  Request
-	missing int64
-	memory  int64
-	began   time.Time
-	expect  time.Duration
-	ahead   float64 // tokens to be read before its first token; negative: not told by its time
-	started bool
-	ended   bool
+	s              *server
+	service        string
+	request        Request
+	uncachedTokens int64
+	memoryTokens   int64
+	began          time.Time
+	expected       time.Duration
+	tokensAhead    float64 // tokens processed before its first token; negative: its time does not measure the processing speed
+	started        bool
+	ended          bool
 }
 
-// Slowness is how long the first event or the answer took that came then, against what was expected.
+// Slowness returns the ratio of the measured to the expected time to the first event or the
+// answer, which arrived at first.
 func (j *Job) Slowness(first time.Time) float64 {
 	took := float64(first.Sub(j.began)) / float64(time.Millisecond)
-	return (took + reactMs) / (float64(j.expect)/float64(time.Millisecond) + reactMs)
+	return (took + networkSlackMs) / (float64(j.expected)/float64(time.Millisecond) + networkSlackMs)
 }
 
-// Started reports whether a first event or an end has been noted.
+// Started reports whether the first event or the end of the job has been recorded.
 func (j *Job) Started() bool { return j.started }
 
-// Begin notes that the request is sent to the chosen server. It returns nil if
-// the server is not known any more.
+// Begin records that the request is sent to the chosen server. It returns nil if the server is no
+// longer known.
 func (p *Picker) Begin(req Request, c Choice, now time.Time) *Job {
 	s := p.servers[c.Server.ID]
 	if s == nil {
 		return nil
 	}
 	j := &Job{
-		s:       s,
-		service: req.Service,
-		prompt:  req,
-		began:   now,
-		expect:  c.Wait + c.Own,
-		ahead:   c.ahead,
+		s:           s,
+		service:     req.Service,
+		request:     req,
+		began:       now,
+		expected:    c.Wait + c.Processing,
+		tokensAhead: c.tokensAhead,
 	}
 	if s.engine != nil {
-		j.missing = int64(c.Missing)
-		j.memory = int64(routing.Tokens(req.Prompt) + req.Out)
-		p.keys = keys(p.keys[:0], req.Prompt)
-		learnt := p.rate(req.Service)
-		p.advertise(s, req.Prompt, p.keys, learnt, now)
-		p.noteSent(s, p.keys, now)
-		learnt.filled += float64(c.Missing + req.Out)
-	}
-	if len(s.waiting) == 0 {
-		s.progress = now
-	}
-	s.waiting = append(s.waiting, j)
-	s.own.Waiting += j.missing
-	s.own.Memory += j.memory
-	s.own.Running++
-	p.usePermit(s, now)
+		j.uncachedTokens = int64(c.UncachedTokens)
+		j.memoryTokens = int64(routing.Tokens(req.Prompt) + req.MaxOutput)
+		p.promptKeys = appendPartKeys(p.promptKeys[:0], req.Prompt)
+		spd := p.speedOf(req.Service)
+		p.queueAdvertisements(s, req.Prompt, p.promptKeys, spd, now)
+		p.recordSentParts(s, p.promptKeys, now)
+		spd.filledTokens += float64(c.UncachedTokens + req.MaxOutput)
+	}
+	if len(s.awaitingFirstEvent) == 0 {
+		s.lastProgress = now
+	}
+	s.awaitingFirstEvent = append(s.awaitingFirstEvent, j)
+	s.ownLoad.PendingTokens += j.uncachedTokens
+	s.ownLoad.MemoryTokens += j.memoryTokens
+	s.ownLoad.Running++
+	p.recordSend(s, now)
 	p.busy[s.key] = s
-	if s.health.strikes > 0 {
-		s.health.trying = true
+	if s.health.failures > 0 {
+		s.health.trialRunning = true
 	}
 	return j
 }
 
-// First notes that the first event or the answer has come, and learns the
-// server's speed from it.
-func (p *Picker) First(j *Job, now time.Time) {
+// NoteFirstEvent records that the first event or the answer has arrived, and updates the estimates
+// of the server's speed.
+func (p *Picker) NoteFirstEvent(j *Job, now time.Time) {
 	if j.started || j.ended {
 		return
 	}
-	p.unwait(j, now)
-	j.s.answered = now
+	p.stopWaiting(j, now)
+	j.s.lastAnswer = now
 	took := float64(now.Sub(j.began)) / float64(time.Millisecond)
 	ratio := j.Slowness(now)
-	if j.s.engine != nil && j.ahead >= 0 {
-		p.seeFirst(j.service, j.ahead, took, now)
+	if j.s.engine != nil && j.tokensAhead >= 0 {
+		p.recordFirstToken(j.service, j.tokensAhead, took, now)
 	}
 	s := j.s
-	s.slow += learn * (min(ratio, slowest)*s.slow - s.slow)
-	s.slow = min(max(s.slow, 1), slowest)
-	if s.slow > 1 && !s.unlisted {
-		p.slowed[s] = true
+	s.slowness += slownessWeight * (min(ratio, maxSlowness)*s.slowness - s.slowness)
+	s.slowness = min(max(s.slowness, 1), maxSlowness)
+	if s.slowness > 1 && !s.unlisted {
+		p.slow[s] = true
 	} else {
-		delete(p.slowed, s)
+		delete(p.slow, s)
 	}
 }
 
-// unwait takes the job out of those that wait for their first token.
-func (p *Picker) unwait(j *Job, now time.Time) {
+// stopWaiting removes the job from those that wait for their first event.
+func (p *Picker) stopWaiting(j *Job, now time.Time) {
 	if j.started {
 		return
 	}
 	j.started = true
 	s := j.s
-	if i := slices.Index(s.waiting, j); i >= 0 {
-		s.waiting = slices.Delete(s.waiting, i, i+1)
+	if i := slices.Index(s.awaitingFirstEvent, j); i >= 0 {
+		s.awaitingFirstEvent = slices.Delete(s.awaitingFirstEvent, i, i+1)
 	}
-	s.own.Waiting -= j.missing
-	s.progress = now
+	s.ownLoad.PendingTokens -= j.uncachedTokens
+	s.lastProgress = now
 }
 
-// Verdict is what an end changed in the belief about the server.
-type Verdict int
+// HealthChange is how an outcome changed the health of a server.
+type HealthChange int
 
-// The verdicts.
 const (
-	Unchanged Verdict = iota
+	Unchanged HealthChange = iota
 	Suspected
 	Cleared
 )
 
-// End notes what became of the job.
-func (p *Picker) End(j *Job, o Outcome, now time.Time) Verdict {
+// End records the outcome of the job.
+func (p *Picker) End(j *Job, o Outcome, now time.Time) HealthChange {
 	if j.ended {
 		return Unchanged
 	}
-	p.unwait(j, now)
+	p.stopWaiting(j, now)
 	j.ended = true
 	s := j.s
 	if o == Succeeded || o == Full {
-		s.answered = now
+		s.lastAnswer = now
 	}
-	s.own.Running--
-	s.own.Memory -= j.memory
-	verdict := p.judge(s, o, now)
-	if s.unlisted && s.own.Running == 0 && p.servers[s.ID] == s {
+	s.ownLoad.Running--
+	s.ownLoad.MemoryTokens -= j.memoryTokens
+	change := p.updateHealth(s, o, now)
+	if s.unlisted && s.ownLoad.Running == 0 && p.servers[s.ID] == s {
 		p.forgetServer(s)
 	}
-	return verdict
+	return change
 }
 
-// judge takes the outcome into the server's health.
-func (p *Picker) judge(s *server, o Outcome, now time.Time) Verdict {
+// updateHealth applies the outcome to the server's health.
+func (p *Picker) updateHealth(s *server, o Outcome, now time.Time) HealthChange {
 	switch o {
 	case Succeeded:
-		if s.health.worked() {
+		if s.health.recordSuccess() {
 			return Cleared
 		}
-	case Unreached:
-		s.unreached = now.Add(firstSuspicion)
+	case ConnectFailed:
+		s.unreachableUntil = now.Add(firstSuspicion)
 		p.busy[s.key] = s
-		if s.health.failed(now) {
+		if s.health.recordFailure(now) {
 			return Suspected
 		}
-	case Failed, Leaving:
+	case Failed, ServerGone:
 		p.busy[s.key] = s
-		if s.health.failed(now) {
+		if s.health.recordFailure(now) {
 			return Suspected
 		}
 	case Full:
-		s.health.trying = false
-		s.health.full(now)
+		s.health.trialRunning = false
+		s.health.recordFull(now)
 	case Abandoned:
-		s.health.trying = false
+		s.health.trialRunning = false
 	}
 	return Unchanged
 }
 
-// Late notes that the job's server should have answered by now. The job goes
-// on; its end is judged as usual.
-func (p *Picker) Late(j *Job, now time.Time) Verdict {
+// NoteOverdue records that the job's server should have answered by now, which counts as a
+// failure. The job continues, and its outcome is recorded as usual.
+func (p *Picker) NoteOverdue(j *Job, now time.Time) HealthChange {
 	if j.ended {
 		return Unchanged
 	}
-	return p.judge(j.s, Failed, now)
+	return p.updateHealth(j.s, Failed, now)
 }
 
-// Answered returns when the server last gave an answer, or began to, to a request of this router;
-// zero: never, or the server is not known.
-func (p *Picker) Answered(id routing.Identity) time.Time {
+// LastAnswer returns when the server last answered, or began to answer, a request of this router;
+// zero if never, or if the server is not known.
+func (p *Picker) LastAnswer(id routing.Identity) time.Time {
 	if s := p.servers[id.ID]; s != nil && s.Identity() == id {
-		return s.answered
+		return s.lastAnswer
 	}
 	return time.Time{}
 }
--- a/internal/core/pick/loads.go
+++ b/internal/core/pick/loads.go
@@ -6,107 +6,108 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// Load is what one router has at one server, or several have together.
+// Load is the load that one or more routers put on a server.
 type Load struct {
-	Waiting   int64 // tokens of prompts that are still to be read
-	Memory    int64 // tokens that its running requests take
-	Running   int   // requests
-	Suspects  int   // routers that suspect it by what they saw themselves
-	Unreached int   // routers that could not connect to it a moment ago
+	PendingTokens   int64 // prompt tokens still to be processed
+	MemoryTokens    int64 // tokens of cache memory reserved by running requests
+	Running         int   // requests
+	Suspicions      int   // routers that suspect the server from their own requests
+	ConnectFailures int   // routers that recently failed to connect to it
 }
 
-// Plus returns the sum of both.
+// Plus returns the sum of the loads.
 func (l Load) Plus(o Load) Load {
 	return Load{
-		Waiting:  l.Waiting + o.Waiting,
-		Memory:   l.Memory + o.Memory,
-		Running:  l.Running + o.Running,
-		Suspects: l.Suspects + o.Suspects,
+		PendingTokens: l.PendingTokens + o.PendingTokens,
+		MemoryTokens:  l.MemoryTokens + o.MemoryTokens,
+		Running:       l.Running + o.Running,
+		Suspicions:    l.Suspicions + o.Suspicions,
 
-		Unreached: l.Unreached + o.Unreached,
+		ConnectFailures: l.ConnectFailures + o.ConnectFailures,
 	}
 }
 
-// Less returns what remains of the load without o, nothing below zero.
-func (l Load) Less(o Load) Load {
+// Minus returns the load without o; no value becomes negative.
+func (l Load) Minus(o Load) Load {
 	return Load{
-		Waiting:  max(0, l.Waiting-o.Waiting),
-		Memory:   max(0, l.Memory-o.Memory),
-		Running:  max(0, l.Running-o.Running),
-		Suspects: max(0, l.Suspects-o.Suspects),
+		PendingTokens: max(0, l.PendingTokens-o.PendingTokens),
+		MemoryTokens:  max(0, l.MemoryTokens-o.MemoryTokens),
+		Running:       max(0, l.Running-o.Running),
+		Suspicions:    max(0, l.Suspicions-o.Suspicions),
 
-		Unreached: max(0, l.Unreached-o.Unreached),
+		ConnectFailures: max(0, l.ConnectFailures-o.ConnectFailures),
 	}
 }
 
-// lightPart is the part of an engine's slots and memory, one in so many, below which its load
-// changes no choice: a request that goes there finds no queue.
-const lightPart = 8
+// lightLoadDivisor determines which loads are light: those below one part in lightLoadDivisor of
+// an engine's slots and memory. A request to such an engine does not queue, so the load does not
+// influence the choice.
+const lightLoadDivisor = 8
 
-// Light reports whether the load, of a whole data centre or more, changes no choice of the server,
-// and of which service that is.
-func (p *Picker) Light(key routing.ServerKey, l Load) (service string, light bool) {
-	s := p.keyed[key]
-	if s == nil || s.engine == nil || l.Waiting > 0 || l.Suspects+l.Unreached > 0 || !s.takes {
-		return "", false // of one that takes nothing it is waited for what runs there
+// IsLight reports whether the total load of a data centre or more on the server is too light to
+// influence the choice, and returns the service of the server.
+func (p *Picker) IsLight(key routing.ServerKey, l Load) (service string, light bool) {
+	s := p.serversByKey[key]
+	if s == nil || s.engine == nil || l.PendingTokens > 0 || l.Suspicions+l.ConnectFailures > 0 || !s.accepts {
+		return "", false // its running requests must be reported, since others wait for them to end
 	}
-	return s.Service, l.Running < max(s.engine.Slots/lightPart, 1) && l.Memory < s.engine.CacheTokens/lightPart
+	return s.Service, l.Running < max(s.engine.Slots/lightLoadDivisor, 1) && l.MemoryTokens < s.engine.CacheTokens/lightLoadDivisor
 }
 
-// peerLoad is the last report of another router.
+// peerLoad is the last load report of another router.
 type peerLoad struct {
-	at    time.Time
-	loads map[routing.ServerKey]Load
-	light map[string]int // requests at servers whose loads are not among these, by service
+	reportedAt    time.Time
+	loads         map[routing.ServerKey]Load
+	lightRequests map[string]int // requests at servers that loads leaves out, by service
 }
 
-// PeerLoad takes another router's report of its load. It is added up when the next
-// server is chosen: a reporter takes in 1,000 reports a second and chooses 20 times.
-func (p *Picker) PeerLoad(peer string, loads map[routing.ServerKey]Load, now time.Time) {
-	p.PeerLoads(peer, loads, nil, now)
+// SetPeerLoad stores another router's load report. The sums are computed only when the next server
+// is chosen, because a reporter receives 1,000 reports a second and chooses 20 times.
+func (p *Picker) SetPeerLoad(peer string, loads map[routing.ServerKey]Load, now time.Time) {
+	p.SetPeerLoads(peer, loads, nil, now)
 }
 
-// PeerLoads takes the same of several routers, which leaves out servers with light loads and tells
-// how many requests these have together, by service.
-func (p *Picker) PeerLoads(peer string, loads map[routing.ServerKey]Load, light map[string]int, now time.Time) {
-	p.peers[peer] = peerLoad{at: now, loads: loads, light: light}
-	p.stale = true
+// SetPeerLoads stores the combined report of several routers. It leaves out servers with light
+// loads and has their total number of requests in light, by service.
+func (p *Picker) SetPeerLoads(peer string, loads map[routing.ServerKey]Load, light map[string]int, now time.Time) {
+	p.peerLoads[peer] = peerLoad{reportedAt: now, loads: loads, lightRequests: light}
+	p.peerSumsStale = true
 }
 
-// sumPeers adds up what the other routers said, leaving out old reports.
-func (p *Picker) sumPeers(now time.Time) {
-	p.stale = false
+// sumPeerLoads sums the load reports of the other routers and drops expired ones.
+func (p *Picker) sumPeerLoads(now time.Time) {
+	p.peerSumsStale = false
 	for s := range p.loaded {
-		s.peers = Load{}
+		s.peerLoad = Load{}
 	}
 	clear(p.loaded)
-	for peer, report := range p.peers {
-		if now.Sub(report.at) > peerStale {
-			delete(p.peers, peer)
+	for peer, report := range p.peerLoads {
+		if now.Sub(report.reportedAt) > peerLoadTTL {
+			delete(p.peerLoads, peer)
 			continue
 		}
 		for key, l := range report.loads {
-			if s := p.keyed[key]; s != nil {
-				s.peers = s.peers.Plus(l)
+			if s := p.serversByKey[key]; s != nil {
+				s.peerLoad = s.peerLoad.Plus(l)
 				p.loaded[s] = true
 			}
 		}
 	}
-	p.judgeReports()
-	p.noteUnreached(now)
+	p.updatePeerSuspicions()
+	p.markUnreachableCold(now)
 }
 
-// Loads returns this router's load at each server where it has any, and those that it
+// Loads returns this router's load at each server where it has any, and the servers that it
 // suspects.
 func (p *Picker) Loads(now time.Time) map[routing.ServerKey]Load {
 	loads := make(map[routing.ServerKey]Load, len(p.busy))
 	for key, s := range p.busy {
-		l := s.own
-		if now.Before(s.health.until) {
-			l.Suspects = 1
+		l := s.ownLoad
+		if now.Before(s.health.suspectedUntil) {
+			l.Suspicions = 1
 		}
-		l.Unreached = s.unreachedBy(now)
-		if l.Running == 0 && l.Suspects == 0 {
+		l.ConnectFailures = s.connectFailed(now)
+		if l.Running == 0 && l.Suspicions == 0 {
 			delete(p.busy, key)
 			continue
 		}
--- a/internal/core/pick/notice.go
+++ b/internal/core/pick/notice.go
@@ -74,8 +74,8 @@
 // clearIfReadyAgain clears the mark of a server whose entry has changed from draining to ready,
 // which means that it cancelled its shutdown. An entry that reappears as ready does not, since the
 // store may have lost the report that the server is draining.
-func (p *Picker) clearIfReadyAgain(s *server, before routing.Server) {
-	if before.Identity() == s.Identity() && !s.unlisted && !before.Takes() && s.Server.Takes() {
+func (p *Picker) clearIfReadyAgain(s *server, previous routing.Server) {
+	if previous.Identity() == s.Identity() && !s.unlisted && !previous.Takes() && s.Server.Takes() {
 		p.clearLeaving(s.Server, "entry changed from draining to ready")
 	}
 }
--- a/internal/core/pick/notice_test.go
+++ b/internal/core/pick/notice_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestLaterBackoffExtendsButDoesNotShorten(t *testing.T) {
-	p := picker(3)
+	p := newPicker(3)
 	id := routing.Identity{ID: "i-000"}
 	assert.Assert(t, p.NoteBackoff(id, 3*time.Second, at(0)))
 	assert.Assert(t, !p.NoteBackoff(id, time.Second, at(100)))
@@ -23,7 +23,7 @@
 }
 
 func TestBackoffIsCapped(t *testing.T) {
-	p := picker(3)
+	p := newPicker(3)
 	p.NoteBackoff(routing.Identity{ID: "i-000"}, 1000*time.Hour, at(0))
 	assert.Equal(t, p.InBackoff(start.Add(maxBackoff-1)), 1)
 	assert.Equal(t, p.InBackoff(start.Add(maxBackoff)), 0)
@@ -31,9 +31,9 @@
 
 // Guards against notices that are lost while an entry has lapsed, or kept forever.
 func TestNoticesOutliveAnEntry(t *testing.T) {
-	p := picker(3)
+	p := newPicker(3)
 	id := routing.Identity{ID: "i-000"}
-	list := listOf(p)
+	list := listedServers(p)
 	assert.Assert(t, p.NoteLeaving(id, at(0)))
 	assert.Assert(t, !p.NoteLeaving(id, at(10)))
 	assert.Equal(t, p.Leaving(), 1)
@@ -169,9 +169,9 @@
 			}
 			usable := m.usable(evacuated)
 			for id := range servers {
-				takes := p.Takes(routing.Identity{ID: fmt.Sprint(id)})
-				if takes != usable[fmt.Sprint(id)] {
-					t.Fatalf("server %d: takes %t, %v", id, takes, m)
+				accepts := p.Accepts(routing.Identity{ID: fmt.Sprint(id)})
+				if accepts != usable[fmt.Sprint(id)] {
+					t.Fatalf("server %d: accepts %t, %v", id, accepts, m)
 				}
 			}
 			c, ok := p.Choose(Request{Service: "app"}, now)
@@ -187,15 +187,15 @@
 
 // Guards against a refusal that reports a lack of servers instead of an evacuation because a
 // server outside the evacuated data centre is leaving.
-func TestLackEvacuatedIgnoresLeavingServers(t *testing.T) {
-	p := picker(0)
+func TestAllEvacuatedIgnoresLeavingServers(t *testing.T) {
+	p := newPicker(0)
 	p.NoteLeaving(routing.Identity{ID: "p-0"}, at(0))
 	p.SetEvacuated([]string{"dc1"})
-	p.SetServers(listOf(p), at(0))
+	p.SetServers(listedServers(p), at(0))
 	_, ok := p.Choose(Request{Service: "app"}, at(10))
 	assert.Assert(t, !ok)
-	lack, _ := p.Lacks(Request{Service: "app"}, at(10))
-	assert.Equal(t, lack, LackEvacuated)
+	reason, _ := p.WhyUnavailable(Request{Service: "app"}, at(10))
+	assert.Equal(t, reason, AllEvacuated)
 }
 
 // FuzzBackoff guards against sequences of backoff requests, lists and clock advances after which a
@@ -233,16 +233,16 @@
 				if state == entryReady && !now.Before(backoffUntil[n]) {
 					usable[id] = true
 				}
-				if may := p.May(routing.Identity{ID: id}, false, now, now); may != usable[id] {
-					t.Fatalf("server %s: May = %t, want %t", id, may, usable[id])
+				if may := p.MaySend(routing.Identity{ID: id}, false, now, now); may != usable[id] {
+					t.Fatalf("server %s: MaySend = %t, want %t", id, may, usable[id])
 				}
 			}
 			c, ok := p.Choose(Request{Service: "app"}, now)
 			if ok != (len(usable) > 0) || ok && !usable[c.Server.ID] {
 				t.Fatalf("chose %q of %v", c.Server.ID, usable)
 			}
-			if lack, back := p.Lacks(Request{Service: "app"}, now); !ok && lack == LackBackoff && back <= 0 {
-				t.Fatalf("LackBackoff with a wait of %s", back)
+			if reason, wait := p.WhyUnavailable(Request{Service: "app"}, now); !ok && reason == AllInBackoff && wait <= 0 {
+				t.Fatalf("AllInBackoff with a wait of %s", wait)
 			}
 		}
 	})
@@ -251,13 +251,13 @@
 // Guards against choosing an engine in backoff as the home of a prompt, and against a home that
 // does not return when the backoff ends.
 func TestHomeInBackoffIsPassedOver(t *testing.T) {
-	p := picker(9)
+	p := newPicker(9)
 	req := Request{Service: "llm", Prompt: prompt(1, 1)}
 	home := choose(t, p, req, 0)
 	p.NoteBackoff(home.Server.Identity(), 3*time.Second, at(0))
 	for ms := 0; ms < 3000; ms += 100 {
 		assert.Assert(t, choose(t, p, req, ms).Server.ID != home.Server.ID)
-		for _, s := range p.homes(req, p.services["llm"], at(ms)).each() {
+		for _, s := range p.homes(req, p.services["llm"], at(ms)).list() {
 			assert.Assert(t, s.ID != home.Server.ID)
 		}
 	}
@@ -266,33 +266,33 @@
 
 // Guards against drawing cold servers in backoff instead of those with a free permit.
 func TestColdServerInBackoffIsNotDrawn(t *testing.T) {
-	p := warming(0, 1, 6)
-	p.SetServers(enginesOf(6, 3, 3*time.Second), at(0))
-	assert.Equal(t, len(p.drawCold(nil, "llm", at(0))), coldDrawn)
+	p := pickerInFleet(0, 1, 6)
+	p.SetServers(engineList(6, 3, 3*time.Second), at(0))
+	assert.Equal(t, len(p.addColdWithPermits(nil, "llm", at(0))), maxColdDrawn)
 	for _, id := range []string{"i-000", "i-001"} {
 		p.NoteBackoff(routing.Identity{ID: id}, time.Second, at(0))
 	}
-	drawn := p.drawCold(nil, "llm", at(0))
+	drawn := p.addColdWithPermits(nil, "llm", at(0))
 	assert.Equal(t, len(drawn), 1)
 	assert.Equal(t, drawn[0].ID, "i-002")
 }
 
 // Guards against a reason or a time that ignores one of two causes that block a server.
-func TestLacksTakesTheLaterOfColdAndBackoff(t *testing.T) {
-	p := warming(0, 2, 1)
+func TestUnavailableUntilLaterOfColdAndBackoff(t *testing.T) {
+	p := pickerInFleet(0, 2, 1)
 	p.fleet.Set([]string{"r1"}, false) // no permits
-	p.SetServers(enginesOf(1, 1, 2*time.Second), at(0))
+	p.SetServers(engineList(1, 1, 2*time.Second), at(0))
 	req := Request{Service: "llm"}
-	lack, back := p.Lacks(req, at(0))
-	assert.Equal(t, lack, LackCold)
-	assert.Equal(t, back, 2*time.Second)
+	reason, wait := p.WhyUnavailable(req, at(0))
+	assert.Equal(t, reason, AllCold)
+	assert.Equal(t, wait, 2*time.Second)
 	id := routing.Identity{ID: "i-000"}
 	p.NoteBackoff(id, time.Second, at(0))
-	lack, back = p.Lacks(req, at(0))
-	assert.Equal(t, lack, LackCold)
-	assert.Equal(t, back, 2*time.Second)
+	reason, wait = p.WhyUnavailable(req, at(0))
+	assert.Equal(t, reason, AllCold)
+	assert.Equal(t, wait, 2*time.Second)
 	p.NoteBackoff(id, 3*time.Second, at(0))
-	lack, back = p.Lacks(req, at(0))
-	assert.Equal(t, lack, LackBackoff)
-	assert.Equal(t, back, 3*time.Second)
+	reason, wait = p.WhyUnavailable(req, at(0))
+	assert.Equal(t, reason, AllInBackoff)
+	assert.Equal(t, wait, 3*time.Second)
 }
--- a/internal/core/pick/pick.go
+++ b/internal/core/pick/pick.go
@@ -1,11 +1,10 @@
-// Package pick chooses the backend server of a request by the time that its
-// first token is expected to take there: the work that waits at the server,
-// of all routers, and the part of the prompt that the server would have to
-// read. It has no input or output; time comes in as an argument.
+// Package pick chooses the backend server for a request by the expected time to its first token.
+// This depends on the work queued at the server by all routers, and on the part of the prompt that
+// the server does not have cached. The package does no I/O; time is passed in as an argument.
 //
-// Invariants: a job is in its server's waiting list from Begin until its first
-// event or its end; the sums of a server are those of its jobs; a server is among
-// the busy ones while it has any.
+// Invariants: a job is in the waiting list of its server from Begin until its first event or its
+// end; the load of a server is the sum over its jobs; a server is in the busy set while it has any
+// jobs.
 package pick
 
 import (
@@ -19,229 +18,232 @@
 )
 
 const (
-	// unknownShare is the part of a shared prompt that counts as missing at its
-	// home server while this router has not sent it there.
-	unknownShare = 0.1
-	// secondShare is the same for the second choice.
-	secondShare = 0.4
-	// otherCentreMs is what a server in another data centre costs, in the time of an engine, and
-	// otherCentrePlainMs the same for a plain service, which has time to spare in quiet times.
+	// unknownHomeMissingShare is the share of the shared parts assumed not to be cached at their
+	// home when this router has not sent them there.
+	unknownHomeMissingShare = 0.1
+	// secondHomeMissingShare is the same for the other homes.
+	secondHomeMissingShare = 0.4
+	// otherCentreMs is the cost of an engine in another data centre, in milliseconds of engine
+	// time. otherCentrePlainMs is the same for a plain service, which has spare capacity at low
+	// load.
 	otherCentreMs      = 8.0
 	otherCentrePlainMs = 4.0
-	// A data centre with homes of its own need not send prompts elsewhere: there it is nearMs and
-	// for each KB on the way there or back perKBMs, a KB's price where bytes are dear.
-	nearMs  = 4.0
-	perKBMs = 2.0
-	// answerPerToken is how many bytes of an answer a token takes with its event.
-	answerPerToken = 20
-	// nearLeast is how many engines a data centre needs for homes of its own: with fewer, two of
-	// them are most of what its requests are spread over.
-	nearLeast = 10
-	// slotWaitMs is what a request waits for each one before it when all slots
-	// of an engine are taken.
+	// In a data centre with its own homes, prompts need not go elsewhere, so sending one to
+	// another data centre costs localHomesDistanceMs and localHomesPerKBMs for each KB of the
+	// request and its answer. The cost per KB is that of a link on which traffic is expensive.
+	localHomesDistanceMs = 4.0
+	localHomesPerKBMs    = 2.0
+	// answerBytesPerToken is how many bytes a token takes in an answer, with its event framing.
+	answerBytesPerToken = 20
+	// minLocalEngines is how many engines a data centre needs to have its own homes. With fewer,
+	// the two homes of a prompt would be most of the servers over which requests can be spread.
+	minLocalEngines = 10
+	// slotWaitMs is the waiting time for each request in the queue when all slots of an engine are
+	// taken.
 	slotWaitMs = 40.0
-	// memoryWaitMs is added when a prompt and its answer don't fit.
+	// memoryWaitMs is added if the prompt and its answer do not fit into the memory of the engine.
 	memoryWaitMs = 400.0
-	// memoryFull is the part of an engine's memory that running requests may
-	// take before others are preempted.
-	memoryFull = 0.92
-	// rereadX is what a shared token that has to be read again costs against one
-	// that is read for the first time: its price beside the engine's time.
-	rereadX = 1.6
-	// fetchX is the same for a fetched token's time.
-	fetchX = 7.0
-	// otherCentreFetchX is how much longer a fetch from another data centre takes.
-	otherCentreFetchX = 2.0
-	// fetchSetupMs is what a fetch takes beside its bytes.
+	// maxMemoryShare is the share of an engine's memory above which running requests are
+	// preempted.
+	maxMemoryShare = 0.92
+	// recomputeCostFactor weights the time to recompute shared tokens that another server has
+	// cached, relative to that of tokens processed for the first time.
+	recomputeCostFactor = 1.6
+	// fetchCostFactor is the same for the time to fetch tokens.
+	fetchCostFactor = 7.0
+	// otherCentreFetchFactor is by what factor a fetch from another data centre takes longer.
+	otherCentreFetchFactor = 2.0
+	// fetchSetupMs is the fixed time of a fetch.
 	fetchSetupMs = 4.0
-	// plainWorkMs is how long a plain service works on a request, until it is
-	// learnt.
-	plainWorkMs = 20.0
-	// plainQueue is how many requests for each slot may be at a plain server
-	// before it refuses more.
-	plainQueue = 3.0
-	// warmupX is how much slower a server counts that has just started.
-	warmupX = 1.5
-	// othersDrawn is how many engines a choice looks at beside a prompt's homes. If each router
-	// took the least loaded of all by loads some 50 ms old, all would take the same one; a few at
-	// random spread requests and leave most at their homes (M. Mitzenmacher, How Useful Is Old
-	// Information?, 2000).
-	othersDrawn = 1
-	// lateDrawn is how many more a choice looks at where the best of these would need more than
-	// inTimePart of the time in which the first token is due, longPart of it for the request itself.
-	lateDrawn  = 4
-	inTimePart = 0.8
-	longPart   = 0.6
-	// forgetEvery is how often parts that no server keeps any more are dropped.
-	forgetEvery = 2 * time.Second
-	// peerStale is how long a router's report of its load counts.
-	peerStale = 1500 * time.Millisecond
+	// initialPlainMs is the assumed processing time of a request at a plain service.
+	initialPlainMs = 20.0
+	// plainQueuePerSlot is how many requests per slot may queue at a plain server before it
+	// refuses more.
+	plainQueuePerSlot = 3.0
+	// coldSlowness is the least slowness assumed for a server that has just started.
+	coldSlowness = 1.5
+	// randomDrawn is how many random engines are considered besides the homes of a prompt. If
+	// every router took the least loaded engine by reports that are about 50 ms old, all would
+	// choose the same one; a few random candidates spread the requests and leave most at their
+	// homes (M. Mitzenmacher, How Useful Is Old Information?, 2000).
+	randomDrawn = 1
+	// extraDrawn is how many more engines are considered if the best of these would take more than
+	// targetShare of the target time to the first token, and more than longRequestShare of it for
+	// the processing of the request itself.
+	extraDrawn       = 4
+	targetShare      = 0.8
+	longRequestShare = 0.6
+	// expiryInterval is how often parts that no server caches any more are removed.
+	expiryInterval = 2 * time.Second
+	// peerLoadTTL is how long another router's load report is valid.
+	peerLoadTTL = 1500 * time.Millisecond
 )
 
-// Request is what is to be placed.
+// Request is a request to be placed.
 type Request struct {
-	Service string
-	Prompt  []routing.Part
-	Out     int // tokens that are made at most
-	// Tried lists servers that this request was sent to already.
+	Service   string
+	Prompt    []routing.Part
+	MaxOutput int // maximum number of generated tokens
+	// Tried lists the IDs of servers to which this request was already sent.
 	Tried []string
-	// Homes are the regions in which it may be served; nil: all.
-	Homes routing.Homes
-	Bytes int // of its body
-	// Target is when its first token is to come; 0: not told.
-	Target time.Duration
-	// NewPart has it go to one of the servers that run a version to which the service's traffic is
-	// being moved, so large a part of them; 0: to one of the others.
-	NewPart float64
-	// Apart has it go to any good server, drawn at random, not to those that keep parts of its prompt:
-	// what shares them runs there too.
-	Apart bool
+	// AllowedRegions are the regions in which the request may be served; nil: all.
+	AllowedRegions routing.Homes
+	BodyBytes      int // size of the body
+	// FirstTokenTarget is the target for the time to the first token; 0: none.
+	FirstTokenTarget time.Duration
+	// NewVersionShare sends the request to one of the servers that run the version to which the
+	// service's traffic is being moved, limited to this share of them; 0: to one of the other
+	// servers.
+	NewVersionShare float64
+	// Isolated sends the request to a random healthy server instead of the homes of its prompt,
+	// where requests that share parts with it run.
+	Isolated bool
 }
 
-// list returns the name of the list of servers among which the request's is sought.
-func (r Request) list() string { return listName(r.Service, r.NewPart > 0) }
+// listName returns the name of the list of servers that may get the request.
+func (r Request) listName() string { return listName(r.Service, r.NewVersionShare > 0) }
 
-// Choice is a server with what led to it.
+// Choice is a chosen server and the estimates that led to the choice.
 type Choice struct {
-	Server  routing.Server
-	Wait    time.Duration // before the request's own work begins
-	Own     time.Duration // the request's own work up to its first token
-	Missing int           // tokens of the prompt that the server is thought to have to read
-	FetchAt string        // the server that it fetches shared parts from; empty: none
-	Full    bool          // every server is at its bound
-	Cold    bool          // the server is cold, and the request is sent on a permit
-	// work is the request's own work with its price, in milliseconds.
-	work float64
-	// ahead is how many tokens are to be read before its first token; negative: the
-	// time is made up of more than reading, and says nothing of its speed.
-	ahead float64
-	rank  int // how good the server is, by its health
+	Server         routing.Server
+	Wait           time.Duration // queueing time before the processing of the request begins
+	Processing     time.Duration // processing time of the request up to its first token
+	UncachedTokens int           // prompt tokens that the server is expected to have to process
+	FetchFrom      string        // address of the server from which it fetches shared parts; empty: none
+	Full           bool          // the server has reached its queue limit
+	Cold           bool          // the server is cold and the request uses a permit
+	// costMs is the weighted cost of processing the request, in milliseconds.
+	costMs float64
+	// tokensAhead is how many tokens are to be processed before its first token; negative: the
+	// time includes more than processing and is no measure of the speed.
+	tokensAhead float64
+	rank        int // by the health of the server
 	// Candidates is how many servers could have been chosen.
 	Candidates int
 }
 
-// server is what the picker knows of one start of a backend server.
+// server is the state of one backend server, from one start to the next.
 type server struct {
 	routing.Server
-	key        routing.ServerKey
-	hash       uint64 // of its ID
-	engine     *routing.Engine
-	own        Load
-	peers      Load
-	waiting    []*Job // in the order in which they were sent
-	progress   time.Time
-	cache      cache
-	advertised map[uint32]time.Time // when the routers were told of a part that it keeps
-	slow       float64              // how much slower than expected it answers; 1: as expected
-	health     health
-	shunned    bool // passed over for what other routers report
-	connLimit  int
-	takes      bool    // listed as one that takes new requests, not leaving, in no evacuated data centre
-	notice     *notice // its entry in Picker.notices; nil: none
-	unlisted   bool
-	round      uint32    // of SetServers, in which it was listed last
-	list       string    // the list in which it stands while it takes requests
-	readySince time.Time // since when it has been listed as ready without a gap
-	region     string
-	cold       slowstart.Cold
-	sent       time.Time // when this router sent a request there last
-	answered   time.Time // when it last gave an answer, or began to, to a request of this router
-	unreached  time.Time // until when it counts as one that this router could not connect to
-	permits    int       // requests in a window that the fleet may send while it is cold
-	bounded    bool      // its service has such a bound
-	slots      int       // those of this router, as of a change of the fleet
-	slotsAt    int
+	key                routing.ServerKey
+	hash               uint64 // of its ID
+	engine             *routing.Engine
+	ownLoad            Load
+	peerLoad           Load
+	awaitingFirstEvent []*Job    // jobs without a first event, in the order of sending
+	lastProgress       time.Time // when a job was last added to an empty awaitingFirstEvent, or removed from it
+	cache              cache
+	advertisedAt       map[uint32]time.Time // when other routers were last told that it caches a part
+	slowness           float64              // average ratio of measured to expected time to the first event; 1: as expected
+	health             health
+	suspectedByPeers   bool // passed over because other routers suspect it
+	connLimit          int
+	accepts            bool    // listed as accepting requests, not leaving, in no evacuated data centre
+	notice             *notice // its entry in Picker.notices; nil: none
+	unlisted           bool
+	generation         uint32    // value of Picker.generation when it was last listed
+	listName           string    // name of the list that holds it while it accepts requests
+	readySince         time.Time // since when it has been listed as ready without interruption
+	region             string
+	cold               slowstart.Cold
+	lastSent           time.Time // when this router last sent a request to it
+	lastAnswer         time.Time // when it last answered, or began to answer, a request of this router
+	unreachableUntil   time.Time // until when a failed connection attempt of this router counts
+	permits            int       // requests per window that the fleet may send while it is cold
+	hasColdBound       bool      // its service limits requests to cold servers
+	ownPermits         int       // this router's share of permits at ownPermitsVersion
+	ownPermitsVersion  int       // value of Fleet.Changes for ownPermits; -1: to be computed
 }
 
-// Picker is the state of the choice at one router.
+// Picker chooses servers for one router. It is not safe for concurrent use.
 type Picker struct {
-	dataCentre   string
-	rng          *rand.Rand
-	servers      map[string]*server
-	keyed        map[routing.ServerKey]*server
-	busy         map[routing.ServerKey]*server // those with requests of this router, and those that it suspects
-	loaded       map[*server]bool              // those of which other routers reported something
-	shunned      []*server                     // those passed over for what other routers report
-	slowed       map[*server]bool              // those that answer more slowly than expected
-	caching      map[*server]bool              // those of which parts are known
-	cold         map[*server]bool              // those that have been cold since the last tick
-	services     map[string][]*server          // those that take requests, in the order of hashes
-	nearby       map[string][]*server          // those of this data centre
-	apertures    map[string][]*server          // of plain services, those that this router prefers
-	place        uint64                        // draws this router's apertures
-	round        uint32                        // counts the calls of SetServers
-	specs        map[string]*routing.Service
-	peers        map[string]peerLoad
-	stale        bool               // a peer's load has come since the sums were made
-	rates        map[string]*speed  // by service
-	holders      map[uint32]holders // by part
-	pending      Sent               // what the other routers are to be told
-	pendingCount int
-	firsts       map[string]FirstTokens // first tokens that the other routers are to know of, by service
-	forgot       time.Time              // when old parts were dropped last
-	keys         []uint32               // of the prompt that is being placed
-	evacuated    map[string]bool        // data centres
-	regions      map[string]string      // by data centre
-	fleet        *slowstart.Fleet
-	groups       *rollout.List
-	bound        slowstart.Bound
-	warmups      []Warmup // what changed since it was taken last
-	notices      map[routing.Identity]*notice
-	returned     []ReturnedServer // since TakeReturned was called last
+	dataCentre         string
+	rng                *rand.Rand
+	servers            map[string]*server
+	serversByKey       map[routing.ServerKey]*server
+	busy               map[routing.ServerKey]*server // servers that run requests of this router or that it suspects
+	loaded             map[*server]bool              // servers in the load reports of other routers
+	suspectedByPeers   []*server                     // servers passed over because other routers suspect them
+	slow               map[*server]bool              // servers that answer more slowly than expected
+	withCache          map[*server]bool              // servers with cached or advertised parts
+	cold               map[*server]bool              // servers that were cold at the last tick or became cold since
+	services           map[string][]*server          // by list name, servers that accept requests, sorted by hash
+	nearby             map[string][]*server          // the same for this data centre only
+	apertures          map[string][]*server          // by list name, the plain servers that this router prefers
+	seed               uint64                        // selects the apertures of this router
+	generation         uint32                        // number of calls of SetServers
+	specs              map[string]*routing.Service
+	peerLoads          map[string]peerLoad
+	peerSumsStale      bool               // a load report has arrived since the sums were computed
+	speeds             map[string]*speed  // by service
+	holders            map[uint32]holders // by part
+	pendingParts       SentParts          // to be sent to other routers
+	pendingCount       int
+	pendingFirstTokens map[string]FirstTokenSums // to be sent to other routers, by service
+	lastExpiry         time.Time                 // when old parts and notices were last removed
+	promptKeys         []uint32                  // part keys of the prompt being placed
+	evacuated          map[string]bool           // evacuated data centres
+	regions            map[string]string         // by data centre
+	fleet              *slowstart.Fleet
+	rollouts           *rollout.List
+	coldBound          slowstart.Bound
+	warmups            []Warmup // since the last call of TakeWarmups
+	notices            map[routing.Identity]*notice
+	returned           []ReturnedServer // since the last call of TakeReturned
 }
 
-// Warmup is a change of belief about a server's being cold.
+// Warmup reports that a server has become cold.
 type Warmup struct {
-	Server routing.Server
-	By     slowstart.Source
-	For    time.Duration
+	Server   routing.Server
+	Source   slowstart.Source
+	Duration time.Duration
 }
 
-// speed is what was learnt of a service's speed.
+// speed holds the estimates of the speed of a service's servers.
 type speed struct {
-	first  line // of an engine
-	workMs float64
-	slow   float64 // the median slowness of its servers
-	// life is how long its engines keep what they read.
-	life     time.Duration
-	filled   float64   // tokens that this router has sent since filledAt
-	fill     float64   // the same a second, averaged
-	filledAt time.Time // when it was averaged last
-	// ownRunning and allRunning are this router's and all routers' requests that
-	// run there, averaged.
+	firstToken     firstTokenFit // of engines
+	processingMs   float64
+	medianSlowness float64 // of its servers
+	// lifetime is how long its engines keep prompt parts in their caches.
+	lifetime     time.Duration
+	filledTokens float64   // tokens sent by this router since fillUpdated
+	fillRate     float64   // tokens per second, averaged
+	fillUpdated  time.Time // when fillRate was last updated
+	// ownRunning and allRunning are the averaged numbers of running requests of this router and of
+	// all routers.
 	ownRunning, allRunning float64
 }
 
-// New returns a picker of a router in the data centre. It draws from rng.
+// New returns a picker for a router in the data centre. It uses rng for random choices.
 func New(dataCentre string, rng *rand.Rand) *Picker {
 	return &Picker{
-		dataCentre: dataCentre,
-		rng:        rng,
-		servers:    map[string]*server{},
-		keyed:      map[routing.ServerKey]*server{},
-		busy:       map[routing.ServerKey]*server{},
-		loaded:     map[*server]bool{},
-		slowed:     map[*server]bool{},
-		caching:    map[*server]bool{},
-		cold:       map[*server]bool{},
-		services:   map[string][]*server{},
-		nearby:     map[string][]*server{},
-		apertures:  map[string][]*server{},
-		place:      rng.Uint64(),
-		specs:      map[string]*routing.Service{},
-		peers:      map[string]peerLoad{},
-		rates:      map[string]*speed{},
-		holders:    map[uint32]holders{},
-		pending:    Sent{},
-		firsts:     map[string]FirstTokens{},
-		evacuated:  map[string]bool{},
-		fleet:      slowstart.NewFleet(""),
-		groups:     rollout.NewList(),
-		notices:    map[routing.Identity]*notice{},
+		dataCentre:         dataCentre,
+		rng:                rng,
+		servers:            map[string]*server{},
+		serversByKey:       map[routing.ServerKey]*server{},
+		busy:               map[routing.ServerKey]*server{},
+		loaded:             map[*server]bool{},
+		slow:               map[*server]bool{},
+		withCache:          map[*server]bool{},
+		cold:               map[*server]bool{},
+		services:           map[string][]*server{},
+		nearby:             map[string][]*server{},
+		apertures:          map[string][]*server{},
+		seed:               rng.Uint64(),
+		specs:              map[string]*routing.Service{},
+		peerLoads:          map[string]peerLoad{},
+		speeds:             map[string]*speed{},
+		holders:            map[uint32]holders{},
+		pendingParts:       SentParts{},
+		pendingFirstTokens: map[string]FirstTokenSums{},
+		evacuated:          map[string]bool{},
+		fleet:              slowstart.NewFleet(""),
+		rollouts:           rollout.NewList(),
+		notices:            map[routing.Identity]*notice{},
 	}
 }
 
-// SetServices takes what the configuration says of the services.
+// SetServices applies the configuration of the services.
 func (p *Picker) SetServices(list []routing.Service) {
 	clear(p.specs)
 	for i := range list {
@@ -252,78 +254,77 @@
 	}
 }
 
-// describe takes over what the configuration says of the server's service.
+// describe applies the configuration of its service to the server.
 func (p *Picker) describe(s *server) {
 	s.engine = nil
-	s.bounded = false
+	s.hasColdBound = false
 	spec := p.specs[s.Service]
 	if spec == nil {
 		return
 	}
 	s.connLimit = spec.MaxConnections
-	s.permits, s.bounded = p.bound.Permits(spec.SlowStart)
-	s.slotsAt = -1
+	s.permits, s.hasColdBound = p.coldBound.Permits(spec.SlowStart)
+	s.ownPermitsVersion = -1
 	if spec.Engine == nil {
 		return
 	}
 	s.engine = spec.Engine
 }
 
-// rate returns what is known of the service's speed.
-func (p *Picker) rate(service string) *speed {
-	r := p.rates[service]
-	if r == nil {
-		r = &speed{first: newLine(), workMs: plainWorkMs, slow: 1, life: mostLife}
-		p.rates[service] = r
+// speedOf returns the speed estimates of the service, with initial values for a new one.
+func (p *Picker) speedOf(service string) *speed {
+	spd := p.speeds[service]
+	if spd == nil {
+		spd = &speed{firstToken: newFirstTokenFit(), processingMs: initialPlainMs, medianSlowness: 1, lifetime: maxLifetime}
+		p.speeds[service] = spd
 	}
-	return r
+	return spd
 }
 
-// Tick forgets old reports of other routers.
+// Tick updates the estimates and removes expired state. It must be called regularly.
 func (p *Picker) Tick(now time.Time) {
-	p.sumPeers(now)
+	p.sumPeerLoads(now)
 	for name, list := range p.services {
 		if len(list) == 0 || name != list[0].Service {
 			continue
 		}
-		r := p.rate(name)
-		r.slow = p.median(list)
-		p.learnLife(r, list, now)
+		spd := p.speedOf(name)
+		spd.medianSlowness = p.median(list)
+		p.updateLifetime(spd, list, now)
 	}
 	for s := range p.cold {
-		if !s.cold.Is(now) {
+		if !s.cold.Active(now) {
 			delete(p.cold, s)
 		}
 	}
-	if now.Sub(p.forgot) > forgetEvery {
-		p.forgot = now
-		p.forgetParts(now)
+	if now.Sub(p.lastExpiry) > expiryInterval {
+		p.lastExpiry = now
+		p.expireParts(now)
 		p.forgetNotices(now)
 	}
 }
 
-// median returns the median of how much slower than expected the servers of a service are: what
-// all of them have in common says nothing of one. Those that are not known to be slow count as 1.
+// median returns the median slowness of the servers of a service. A slowness that all servers
+// share does not count against a single one. Servers not known to be slow count as 1.
 func (p *Picker) median(list []*server) float64 {
 	if len(list) == 0 {
 		return 1
 	}
 	var slow []float64
-	for s := range p.slowed {
-		if s.takes && s.Service == list[0].Service {
-			slow = append(slow, s.slow)
+	for s := range p.slow {
+		if s.accepts && s.Service == list[0].Service {
+			slow = append(slow, s.slowness)
 		}
 	}
-	at := len(list)/2 - (len(list) - len(slow))
-	if at < 0 {
+	middle := len(list)/2 - (len(list) - len(slow))
+	if middle < 0 {
 		return 1
 	}
 	slices.Sort(slow)
-	return slow[at]
+	return slow[middle]
 }
 
-// ConnLimit is how many connections the server of the ID takes from all
-// routers; 0: not told.
+// ConnLimit returns how many connections from all routers the server accepts; 0 if unknown.
 func (p *Picker) ConnLimit(id string) int {
 	if s := p.servers[id]; s != nil {
 		return s.connLimit
@@ -331,11 +332,11 @@
 	return 0
 }
 
-// Takes reports whether the server is listed as one that takes new requests and has not
+// Accepts reports whether the server is listed as accepting new requests and has not
 // announced that it is leaving.
-func (p *Picker) Takes(id routing.Identity) bool { return p.Known(id) && p.servers[id.ID].takes }
+func (p *Picker) Accepts(id routing.Identity) bool { return p.Known(id) && p.servers[id.ID].accepts }
 
-// Known reports whether the server is still known, and has not started again since.
+// Known reports whether the server is known and has not restarted since.
 func (p *Picker) Known(id routing.Identity) bool {
 	s := p.servers[id.ID]
 	return s != nil && s.Identity() == id
--- a/internal/core/pick/speed.go
+++ b/internal/core/pick/speed.go
@@ -5,43 +5,42 @@
 	"time"
 )
 
-// What an engine is, is learnt from its first tokens: how fast it reads prompts and what passes
-// before a first token beside that. Engines in use differ by more than three times in both, and
-// every limit and price of a choice is in milliseconds.
+// The speed of an engine is learnt from the time to the first token, as the sum of a fixed delay
+// and a time proportional to the prompt tokens processed. Engines in use differ by a factor of
+// more than three in both, and all limits and costs of a choice are in milliseconds.
 
 const (
-	// firstTokensPerMs is how fast an engine counts as reading before the first
-	// token of it is seen, tokens a millisecond: the geometric middle of the
-	// engines in use.
-	firstTokensPerMs = 60.0
-	// firstBaseMs is what counts as passing before a first token beside reading.
-	firstBaseMs = 25.0
-	// firstWeight is for how many observations what is believed at first stands,
-	// and firstTokens how many tokens these had ahead of them.
-	firstWeight = 4.0
-	firstTokens = 4000.0
-	// forget is the part of what is known that goes with each first token, but what
-	// all routers see together is not forgotten faster than within memory: a router
-	// of a small fleet sees some 50 first tokens a second, 295 routers 2,200, and the
-	// speed of an engine changes with what else it runs, within some seconds.
-	forget = 0.01
-	memory = time.Second
-	// leastTokensPerMs and mostTokensPerMs bound what is learnt.
-	leastTokensPerMs = 2.0
-	mostTokensPerMs  = 2000.0
-	// outlier is how many times the expected time an observation counts at most: a
-	// server that stood still says nothing of the speed of reading.
-	outlier = 4.0
+	// initialTokensPerMs is the assumed processing speed before the first observation, in tokens
+	// per millisecond: the geometric mean of the range of engines in use.
+	initialTokensPerMs = 60.0
+	// initialBaseMs is the assumed fixed delay before a first token.
+	initialBaseMs = 25.0
+	// initialWeight is how many observations the initial assumption counts for, and initialTokens
+	// how many tokens these had to process.
+	initialWeight = 4.0
+	initialTokens = 4000.0
+	// decayPerToken is by how much older observations lose weight with each first token, but they
+	// decay no faster than with the time constant minMemory. A router of a small fleet sees about
+	// 50 first tokens a second and 295 routers see 2,200, while the speed of an engine changes
+	// with its other load within a few seconds.
+	decayPerToken = 0.01
+	minMemory     = time.Second
+	// minTokensPerMs and maxTokensPerMs bound the learnt speed.
+	minTokensPerMs = 2.0
+	maxTokensPerMs = 2000.0
+	// maxOutlierFactor caps an observation at this multiple of the expected time, since a server
+	// that stalled says nothing about the processing speed.
+	maxOutlierFactor = 4.0
 )
 
-// FirstTokens are sums over first tokens: what had to be read before each (x,
-// tokens) and the time that it took (y, ms).
-type FirstTokens struct {
+// FirstTokenSums are the sums of a linear regression over first tokens: x is the number of tokens
+// that had to be processed before each, y the time it took in ms.
+type FirstTokenSums struct {
 	N, X, Y, XX, XY float64
 }
 
-// add adds one first token of weight w.
-func (f *FirstTokens) add(x, y, w float64) {
+// add adds an observation with weight w.
+func (f *FirstTokenSums) add(x, y, w float64) {
 	f.N += w
 	f.X += w * x
 	f.Y += w * y
@@ -49,86 +48,86 @@
 	f.XY += w * x * y
 }
 
-// Plus returns the sums of both.
-func (f FirstTokens) Plus(o FirstTokens) FirstTokens {
-	return FirstTokens{N: f.N + o.N, X: f.X + o.X, Y: f.Y + o.Y, XX: f.XX + o.XX, XY: f.XY + o.XY}
+// Plus returns the sum of f and o.
+func (f FirstTokenSums) Plus(o FirstTokenSums) FirstTokenSums {
+	return FirstTokenSums{N: f.N + o.N, X: f.X + o.X, Y: f.Y + o.Y, XX: f.XX + o.XX, XY: f.XY + o.XY}
 }
 
-// scaled returns the sums, each times k.
-func (f FirstTokens) scaled(k float64) FirstTokens {
-	return FirstTokens{N: f.N * k, X: f.X * k, Y: f.Y * k, XX: f.XX * k, XY: f.XY * k}
+// scaled returns the sums multiplied by k.
+func (f FirstTokenSums) scaled(k float64) FirstTokenSums {
+	return FirstTokenSums{N: f.N * k, X: f.X * k, Y: f.Y * k, XX: f.XX * k, XY: f.XY * k}
 }
 
-// line is the least-squares line through the first tokens seen lately, by this router
-// and, as far as they report them, by the others. Old ones fade.
-type line struct {
-	sums FirstTokens
-	at   time.Time // when some were taken in last
+// firstTokenFit is a least-squares fit of the recent first tokens of this router and of those that
+// other routers report. Older observations decay.
+type firstTokenFit struct {
+	sums      FirstTokenSums
+	updatedAt time.Time // when observations were last merged
 }
 
-// newLine returns the line that is believed before anything is seen.
-func newLine() line {
-	var l line
-	w := firstWeight / 2
-	l.sums.add(0, firstBaseMs, w)
-	l.sums.add(firstTokens, firstBaseMs+firstTokens/firstTokensPerMs, w)
+// newFirstTokenFit returns the fit that is assumed before the first observation.
+func newFirstTokenFit() firstTokenFit {
+	var l firstTokenFit
+	w := initialWeight / 2
+	l.sums.add(0, initialBaseMs, w)
+	l.sums.add(initialTokens, initialBaseMs+initialTokens/initialTokensPerMs, w)
 	return l
 }
 
-// bounded is the time that a first token counts as having taken, of y ms after x
-// tokens.
-func (l *line) bounded(x, y float64) float64 {
+// clampOutlier limits the time y of a first token after x tokens to maxOutlierFactor times the
+// expected time.
+func (l *firstTokenFit) clampOutlier(x, y float64) float64 {
 	rate, base := l.fit()
-	return min(y, outlier*(base+x/rate))
+	return min(y, maxOutlierFactor*(base+x/rate))
 }
 
-// take takes in first tokens.
-func (l *line) take(f FirstTokens, now time.Time) {
-	keep := math.Pow(1-forget, f.N)
-	if !l.at.IsZero() {
-		keep = max(keep, math.Exp(-float64(now.Sub(l.at))/float64(memory)))
+// merge adds observations and decays the older ones.
+func (l *firstTokenFit) merge(f FirstTokenSums, now time.Time) {
+	retained := math.Pow(1-decayPerToken, f.N)
+	if !l.updatedAt.IsZero() {
+		retained = max(retained, math.Exp(-float64(now.Sub(l.updatedAt))/float64(minMemory)))
 	}
-	l.at = now
-	l.sums = l.sums.scaled(keep).Plus(f)
+	l.updatedAt = now
+	l.sums = l.sums.scaled(retained).Plus(f)
 }
 
-// fit returns the speed of reading, tokens a millisecond, and what passes before
-// a first token beside it, in milliseconds.
-func (l *line) fit() (rate, base float64) {
+// fit returns the processing speed in tokens per millisecond, and the fixed delay before a first
+// token in milliseconds.
+func (l *firstTokenFit) fit() (rate, base float64) {
 	s := l.sums
 	spread := s.XX - s.X*s.X/s.N
-	rate = mostTokensPerMs
+	rate = maxTokensPerMs
 	if slope := (s.XY - s.X*s.Y/s.N) / max(spread, 1); slope > 0 {
 		rate = 1 / slope
 	}
-	rate = min(max(rate, leastTokensPerMs), mostTokensPerMs)
+	rate = min(max(rate, minTokensPerMs), maxTokensPerMs)
 	base = max((s.Y-s.X/rate)/s.N, 0)
 	return rate, base
 }
 
-// seeFirst takes in a first token of the service, and keeps it for the other routers.
-func (p *Picker) seeFirst(service string, ahead, tookMs float64, now time.Time) {
-	line := &p.rate(service).first
-	var one FirstTokens
-	one.add(ahead, line.bounded(ahead, tookMs), 1)
-	line.take(one, now)
-	p.firsts[service] = p.firsts[service].Plus(one)
+// recordFirstToken records a first token of the service, and queues it for the other routers.
+func (p *Picker) recordFirstToken(service string, tokensAhead, tookMs float64, now time.Time) {
+	fit := &p.speedOf(service).firstToken
+	var one FirstTokenSums
+	one.add(tokensAhead, fit.clampOutlier(tokensAhead, tookMs), 1)
+	fit.merge(one, now)
+	p.pendingFirstTokens[service] = p.pendingFirstTokens[service].Plus(one)
 }
 
-// TakeFirsts returns the first tokens seen since it was called last, by service, once:
-// what the other routers are to know. In a fleet of 295 routers each sees six a second,
-// and one that starts would need 15 s to learn what its engines are.
-func (p *Picker) TakeFirsts() map[string]FirstTokens {
-	firsts := p.firsts
-	p.firsts = map[string]FirstTokens{}
+// TakeFirstTokens returns the first tokens observed since the last call, by service, to be sent to
+// the other routers. In a fleet of 295 routers each sees six a second, so that a router that
+// starts would need 15 s to learn the speed of its engines alone.
+func (p *Picker) TakeFirstTokens() map[string]FirstTokenSums {
+	firsts := p.pendingFirstTokens
+	p.pendingFirstTokens = map[string]FirstTokenSums{}
 	return firsts
 }
 
-// HeardFirsts takes in the first tokens that other routers saw.
-func (p *Picker) HeardFirsts(firsts map[string]FirstTokens, now time.Time) {
+// MergeFirstTokens adds the first tokens that other routers observed.
+func (p *Picker) MergeFirstTokens(firsts map[string]FirstTokenSums, now time.Time) {
 	for service, f := range firsts {
 		if f.N > 0 && len(p.services[service]) > 0 {
-			p.rate(service).first.take(f, now)
+			p.speedOf(service).firstToken.merge(f, now)
 		}
 	}
 }
--- a/internal/core/pick/speed_test.go
+++ b/internal/core/pick/speed_test.go
@@ -8,139 +8,138 @@
 	"gotest.tools/v3/assert"
 )
 
-// Engines as they are in use and twice as fast: how fast they read prompts
-// (tokens a millisecond) and what passes before a first token beside that (ms).
+// engines are the engines in use and one twice as fast: the processing speed (tokens per
+// millisecond) and the fixed delay before a first token (ms).
 var engines = []struct{ rate, base float64 }{{32, 10}, {38.7, 12}, {70, 47}, {112, 50}, {220, 9}}
 
-// watched is a line to which a first token comes each 20 ms.
-type watched struct {
-	line
+// observed is a fit that gets an observation every 20 ms.
+type observed struct {
+	firstTokenFit
 	now time.Time
 }
 
-func watch() *watched { return &watched{line: newLine(), now: at(0)} }
+func newObserved() *observed { return &observed{firstTokenFit: newFirstTokenFit(), now: at(0)} }
 
-func (w *watched) see(x, y float64) {
+func (w *observed) observe(x, y float64) {
 	w.now = w.now.Add(20 * time.Millisecond)
-	var one FirstTokens
-	one.add(x, w.bounded(x, y), 1)
-	w.take(one, w.now)
+	var one FirstTokenSums
+	one.add(x, w.clampOutlier(x, y), 1)
+	w.merge(one, w.now)
 }
 
-// firsts draws n first tokens of an engine before which up to 8,000 tokens are
-// read, a tenth more or less than the engine takes.
-func firsts(rng *rand.Rand, n int, rate, base float64, see func(x, y float64)) {
+// observeFirstTokens draws n first tokens of an engine after up to 8,000 prompt tokens, with times
+// that vary by 10%.
+func observeFirstTokens(rng *rand.Rand, n int, rate, base float64, observe func(x, y float64)) {
 	for range n {
 		x := rng.Float64() * 8000
-		see(x, (base+x/rate)*(0.9+0.2*rng.Float64()))
+		observe(x, (base+x/rate)*(0.9+0.2*rng.Float64()))
 	}
 }
 
-// A router sees some 50 first tokens a second: two seconds are enough to know
-// what an engine is.
-func TestAnEngineIsLearntInTwoSeconds(t *testing.T) {
+// A router sees about 50 first tokens a second, and must know the speed of an engine after two
+// seconds.
+func TestEngineSpeedConvergesInTwoSeconds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, e := range engines {
-		l := watch()
-		firsts(rng, 100, e.rate, e.base, l.see)
+		l := newObserved()
+		observeFirstTokens(rng, 100, e.rate, e.base, l.observe)
 		rate, base := l.fit()
 		for _, x := range []float64{0, 1000, 4000, 8000} {
-			seen, told := e.base+x/e.rate, base+x/rate
-			assert.Assert(t, told > 0.8*seen-4 && told < 1.2*seen+4, "%v: after %g tokens %.1f ms, told %.1f", e, x, seen, told)
+			measured, expected := e.base+x/e.rate, base+x/rate
+			assert.Assert(t, expected > 0.8*measured-4 && expected < 1.2*measured+4, "%v: after %g tokens %.1f ms, expected %.1f", e, x, measured, expected)
 		}
 	}
 }
 
-// An engine that runs more than before reads more slowly: that is known after a
-// few seconds.
-func TestASlowerEngineIsLearntAgain(t *testing.T) {
+// An engine that becomes slower under load is estimated correctly after a few seconds.
+func TestFitFollowsSlowdown(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	l := watch()
-	firsts(rng, 500, 112, 50, l.see)
+	l := newObserved()
+	observeFirstTokens(rng, 500, 112, 50, l.observe)
 	rate, _ := l.fit()
 	assert.Assert(t, rate > 100, "%g", rate)
-	firsts(rng, 250, 56, 60, l.see)
+	observeFirstTokens(rng, 250, 56, 60, l.observe)
 	rate, _ = l.fit()
 	assert.Assert(t, rate < 70, "%g", rate)
 }
 
-// One server that stood still for a second says nothing of the speed of reading.
-func TestAnOutlierHardlyCounts(t *testing.T) {
+// A server that stalled for several seconds must not change the estimated processing speed.
+func TestOutlierBarelyChangesFit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	l := watch()
-	firsts(rng, 300, 112, 50, l.see)
-	l.see(500, 5000)
+	l := newObserved()
+	observeFirstTokens(rng, 300, 112, 50, l.observe)
+	l.observe(500, 5000)
 	rate, base := l.fit()
 	assert.Assert(t, rate > 90 && base < 60, "%g, %g", rate, base)
 }
 
-// Without any spread of what is read the line keeps what was believed.
-func TestEqualPromptsKeepTheLineFinite(t *testing.T) {
-	l := watch()
+// If all prompts have the same length, the fit stays within its bounds.
+func TestEqualPromptsKeepFitBounded(t *testing.T) {
+	l := newObserved()
 	for range 5000 {
-		l.see(0, 50)
+		l.observe(0, 50)
 	}
 	rate, base := l.fit()
-	assert.Assert(t, rate >= leastTokensPerMs && rate <= mostTokensPerMs)
+	assert.Assert(t, rate >= minTokensPerMs && rate <= maxTokensPerMs)
 	assert.Assert(t, base > 45 && base < 55)
 }
 
-// What a router expects is what it sees, on an engine three times as fast as
-// another whose figures it may have begun with.
-func TestExpectedIsSeen(t *testing.T) {
+// The estimated times match the measured ones, whether an engine is slower or faster than the
+// initial assumption.
+func TestEstimateMatchesMeasuredTime(t *testing.T) {
 	for _, e := range engines {
-		p := picker(9)
+		p := newPicker(9)
 		for i := range 300 {
 			req := Request{Service: "llm", Prompt: prompt(i%60, i)}
 			now := i * 900
 			c := choose(t, p, req, now)
 			j := p.Begin(req, c, at(now))
-			took := e.base + float64(c.Missing)/e.rate
-			if c.FetchAt != "" {
-				took += 8
+			tookMs := e.base + float64(c.UncachedTokens)/e.rate
+			if c.FetchFrom != "" {
+				tookMs += 8
 			}
-			p.First(j, at(now).Add(millis(took)))
-			p.End(j, Succeeded, at(now).Add(millis(took)))
+			p.NoteFirstEvent(j, at(now).Add(millis(tookMs)))
+			p.End(j, Succeeded, at(now).Add(millis(tookMs)))
 		}
 		c := choose(t, p, Request{Service: "llm", Prompt: prompt(1, 1000)}, 900*300)
-		seen := millis(e.base + float64(c.Missing)/e.rate)
-		told := c.Wait + c.Own
-		assert.Assert(t, told > seen*8/10-4*time.Millisecond && told < seen*12/10+4*time.Millisecond, "%v: %s, told %s", e, seen, told)
+		measured := millis(e.base + float64(c.UncachedTokens)/e.rate)
+		expected := c.Wait + c.Processing
+		assert.Assert(t, expected > measured*8/10-4*time.Millisecond && expected < measured*12/10+4*time.Millisecond, "%v: %s, expected %s", e, measured, expected)
 	}
 }
 
-// The pattern: 295 routers before 160 engines, of which each sees six first tokens a
-// second; one starts. It knows after a tenth of a second of the others' reports what it
-// would learn by itself in 15 s: without them it believes in 60 tokens a millisecond
-// on engines that read 38.7, and expects two thirds of each wait.
-func TestARouterThatStartsLearnsFromTheOthers(t *testing.T) {
+// Guards against wrong estimates at a router that has just started. Of 295 routers in front of 160
+// engines each sees six first tokens a second, so that it would need 15 s to learn the speed
+// alone. With the reports of the others it needs a tenth of a second; until then it assumes 60
+// tokens per millisecond for engines that reach 38.7 and expects two thirds of each wait.
+func TestNewRouterLearnsSpeedFromPeers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, e := range engines {
-		fleet := picker(9)
-		firsts(rng, 400, e.rate, e.base, func(x, y float64) { fleet.seeFirst("llm", x, y, at(0)) })
-		started := picker(9)
-		heard := fleet.TakeFirsts()
-		assert.Equal(t, heard["llm"].N, 400.0)
-		started.HeardFirsts(map[string]FirstTokens{"llm": heard["llm"].scaled(0.5)}, at(50))
-		started.HeardFirsts(map[string]FirstTokens{"llm": heard["llm"].scaled(0.5)}, at(100))
-		rate, base := started.rate("llm").first.fit()
+		fleet := newPicker(9)
+		observeFirstTokens(rng, 400, e.rate, e.base, func(x, y float64) { fleet.recordFirstToken("llm", x, y, at(0)) })
+		newRouter := newPicker(9)
+		reported := fleet.TakeFirstTokens()
+		assert.Equal(t, reported["llm"].N, 400.0)
+		newRouter.MergeFirstTokens(map[string]FirstTokenSums{"llm": reported["llm"].scaled(0.5)}, at(50))
+		newRouter.MergeFirstTokens(map[string]FirstTokenSums{"llm": reported["llm"].scaled(0.5)}, at(100))
+		rate, base := newRouter.speedOf("llm").firstToken.fit()
 		for _, x := range []float64{0, 1000, 4000, 8000} {
-			seen, expected := e.base+x/e.rate, base+x/rate
-			assert.Assert(t, expected > 0.8*seen-4 && expected < 1.2*seen+4, "%v: after %g tokens %.1f ms, expected %.1f", e, x, seen, expected)
+			measured, expected := e.base+x/e.rate, base+x/rate
+			assert.Assert(t, expected > 0.8*measured-4 && expected < 1.2*measured+4, "%v: after %g tokens %.1f ms, expected %.1f", e, x, measured, expected)
 		}
-		assert.Equal(t, len(fleet.TakeFirsts()), 0, "each is reported once")
+		assert.Equal(t, len(fleet.TakeFirstTokens()), 0, "each observation is reported once")
 	}
 }
 
-// What the whole fleet sees in a tenth of a second, 220 first tokens, does not end the
-// memory of the second before it.
-func TestManyFirstTokensAtOnceDoNotEndTheMemory(t *testing.T) {
+// The first tokens that the whole fleet sees in a tenth of a second, about 220, must not displace
+// those of the second before.
+func TestBurstOfFirstTokensKeepsHistory(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	l := newLine()
+	l := newFirstTokenFit()
 	for i := range 10 {
-		var f FirstTokens
-		firsts(rng, 220, 38.7, 12, func(x, y float64) { f.add(x, y, 1) })
-		l.take(f, at(100*i))
+		var f FirstTokenSums
+		observeFirstTokens(rng, 220, 38.7, 12, func(x, y float64) { f.add(x, y, 1) })
+		l.merge(f, at(100*i))
 	}
 	assert.Assert(t, l.sums.N > 1000, "%g", l.sums.N)
 }
--- a/internal/core/slowstart/fleet.go
+++ b/internal/core/slowstart/fleet.go
@@ -38,9 +38,9 @@
 // Changes counts the changes of the fleet, for who keeps what Slots returned.
 func (f *Fleet) Changes() int { return f.changes }
 
-// Slots returns how many of a server's permits are this router's. The routers stand in the
+// PermitShare returns how many of a server's permits are this router's. The routers stand in the
 // order of their hashes with the server's, and permits go round from the first one.
-func (f *Fleet) Slots(server uint64, permits int) int {
+func (f *Fleet) PermitShare(server uint64, permits int) int {
 	if !f.trusted || permits <= 0 {
 		return 0
 	}
--- a/internal/core/slowstart/slowstart.go
+++ b/internal/core/slowstart/slowstart.go
@@ -27,8 +27,8 @@
 
 // Bound is by how much a fleet may exceed what servers bear, as the operator allows it.
 type Bound struct {
-	Over  float64 // times what a server bears a second
-	Slack float64 // requests beside, a second
+	Factor         float64 // times what a server bears a second
+	ExtraPerSecond float64 // requests beside, a second
 }
 
 // Permits is how many permits there are for one cold server of a service; 0 or less: none,
@@ -37,7 +37,7 @@
 	if s.For <= 0 || s.PerSecond <= 0 {
 		return 0, false
 	}
-	return int(min((s.PerSecond*b.Over+b.Slack)/views, mostPermits)), true
+	return int(min((s.PerSecond*b.Factor+b.ExtraPerSecond)/views, mostPermits)), true
 }
 
 // Source is what says that a server is cold.
@@ -45,9 +45,9 @@
 
 // The sources.
 const (
-	ByEntry     Source = iota // its own entry in the platform's list
-	ByTakeBack                // its data centre was evacuated until a moment ago
-	BySuspicion               // routers could not reach it until a moment ago
+	ByEntry               Source = iota // its own entry in the platform's list
+	ByEvacuationCancelled               // its data centre was evacuated until a moment ago
+	ByConnectFailures                   // routers could not reach it until a moment ago
 	sources
 )
 
@@ -64,7 +64,7 @@
 
 // Mark notes that the server is cold until then, by the source. It reports whether it was warm.
 func (c *Cold) Mark(by Source, until, now time.Time) (fresh bool) {
-	fresh = !c.Is(now) && until.After(now)
+	fresh = !c.Active(now) && until.After(now)
 	if until.After(c.until[by]) {
 		c.until[by] = until
 	}
@@ -74,8 +74,8 @@
 // Clear notes that the source says no longer that the server is cold.
 func (c *Cold) Clear(by Source) { c.until[by] = time.Time{} }
 
-// Is reports whether the server is cold.
-func (c *Cold) Is(now time.Time) bool { return now.Before(c.Until()) }
+// Active reports whether the server is cold.
+func (c *Cold) Active(now time.Time) bool { return now.Before(c.Until()) }
 
 // Until returns when the server is warm.
 func (c *Cold) Until() (until time.Time) {
@@ -87,9 +87,9 @@
 	return until
 }
 
-// Rest uses up the permits: what was sent within the last window, before the server was known
+// UseAll uses up the permits: what was sent within the last window, before the server was known
 // to be cold, counts against the bound too.
-func (c *Cold) Rest(permits int, now time.Time) {
+func (c *Cold) UseAll(permits int, now time.Time) {
 	for range permits {
 		c.Use(now)
 	}
--- a/internal/core/slowstart/slowstart_test.go
+++ b/internal/core/slowstart/slowstart_test.go
@@ -16,8 +16,8 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func TestPermitsAreHalfOfWhatMayBeSent(t *testing.T) {
-	b := Bound{Over: 1.5, Slack: 5}
+func TestPermitsAreHalfOfAllowedRate(t *testing.T) {
+	b := Bound{Factor: 1.5, ExtraPerSecond: 5}
 	n, limited := b.Permits(routing.SlowStart{For: 3 * time.Second, PerSecond: 9.8})
 	assert.Assert(t, limited)
 	assert.Equal(t, n, 9)
@@ -25,23 +25,23 @@
 		_, limited = b.Permits(none)
 		assert.Assert(t, !limited)
 	}
-	n, limited = Bound{Over: 1}.Permits(routing.SlowStart{For: time.Second, PerSecond: 1})
+	n, limited = Bound{Factor: 1}.Permits(routing.SlowStart{For: time.Second, PerSecond: 1})
 	assert.Assert(t, limited && n == 0, "too little to share out: nothing")
 	n, _ = b.Permits(routing.SlowStart{For: time.Second, PerSecond: 1e300})
 	assert.Equal(t, n, mostPermits)
 }
 
-func TestTheLastSourceCounts(t *testing.T) {
+func TestServerIsColdUntilLastSourceExpires(t *testing.T) {
 	var c Cold
-	assert.Assert(t, !c.Is(start))
+	assert.Assert(t, !c.Active(start))
 	assert.Assert(t, c.Mark(ByEntry, at(1000), start))
-	assert.Assert(t, !c.Mark(ByTakeBack, at(3000), at(100)))
+	assert.Assert(t, !c.Mark(ByEvacuationCancelled, at(3000), at(100)))
 	c.Clear(ByEntry)
-	assert.Assert(t, c.Is(at(2999)) && !c.Is(at(3000)))
-	assert.Assert(t, !c.Mark(BySuspicion, at(2000), at(3500)), "it is over")
+	assert.Assert(t, c.Active(at(2999)) && !c.Active(at(3000)))
+	assert.Assert(t, !c.Mark(ByConnectFailures, at(2000), at(3500)), "it is over")
 }
 
-func TestAPermitIsUsedOnceInAWindow(t *testing.T) {
+func TestPermitAllowsOneRequestPerWindow(t *testing.T) {
 	var c Cold
 	for range 2 {
 		assert.Assert(t, c.Free(2, at(0)))
@@ -49,7 +49,7 @@
 	}
 	assert.Assert(t, !c.Free(2, at(1099)))
 	assert.Assert(t, c.Free(2, at(1100)))
-	c.Rest(2, at(1100))
+	c.UseAll(2, at(1100))
 	assert.Assert(t, !c.Free(2, at(2000)), "what was sent before counts")
 	assert.Assert(t, !c.Free(0, at(9000)))
 }
@@ -71,13 +71,13 @@
 }
 
 // Each permit is one router's, at any size of the fleet.
-func TestAllPermitsAreGivenOutOnce(t *testing.T) {
+func TestEachPermitHasOneHolder(t *testing.T) {
 	for _, size := range []int{1, 3, 8, 91, 295} {
 		view := names(size)
 		for server := uint64(1); server < 20; server++ {
 			sum, holders := 0, 0
 			for _, self := range view {
-				n := fleetOf(self, view).Slots(server*0x1234567, 9)
+				n := fleetOf(self, view).PermitShare(server*0x1234567, 9)
 				sum += n
 				if n > 0 {
 					holders++
@@ -89,13 +89,13 @@
 	}
 }
 
-func TestARouterThatKnowsTooFewHasNone(t *testing.T) {
+func TestRouterWithUntrustedFleetHasNoPermits(t *testing.T) {
 	f := NewFleet("a")
-	assert.Equal(t, f.Slots(7, 9), 0)
+	assert.Equal(t, f.PermitShare(7, 9), 0)
 	f.Set(nil, true)
-	assert.Equal(t, f.Slots(7, 9), 9, "it is alone")
+	assert.Equal(t, f.PermitShare(7, 9), 9, "it is alone")
 	f.Set([]string{"b"}, false)
-	assert.Equal(t, f.Slots(7, 9), 0)
+	assert.Equal(t, f.PermitShare(7, 9), 0)
 }
 
 // Whatever sets of routers two parts of a fleet take for the whole one, together they have
@@ -113,7 +113,7 @@
 		for i, self := range all {
 			view := seen[rapid.IntRange(0, 1).Draw(t, fmt.Sprint("of ", i))]
 			if slices.Contains(view, self) {
-				sum += fleetOf(self, view).Slots(server, permits)
+				sum += fleetOf(self, view).PermitShare(server, permits)
 			}
 		}
 		if sum > views*permits {
@@ -163,7 +163,7 @@
 		for k, s := range w.routers {
 			f := NewFleet(w.names[k])
 			f.Set(slices.DeleteFunc(slices.Clone(s.view), func(n string) bool { return n == w.names[k] }), w.ms >= s.trustedAt)
-			for s.cold.Free(f.Slots(1, worldPermits), at(w.ms)) {
+			for s.cold.Free(f.PermitShare(1, worldPermits), at(w.ms)) {
 				s.cold.Use(at(w.ms))
 				w.arrived = append(w.arrived, w.ms+(k*37+int(b))%delayMost)
 			}
--- a/internal/edge/front/exchange.go
+++ b/internal/edge/front/exchange.go
@@ -95,7 +95,7 @@
 	case errors.Is(err, upstream.ErrLeft):
 		outcome = pick.Abandoned
 	case err.Stage == upstream.StageDial && !errors.Is(err, upstream.ErrCancelled) && !q.h.overloaded():
-		outcome = pick.Unreached
+		outcome = pick.ConnectFailed
 	}
 	x.end(outcome, err.Error())
 	x.ended(err.Sent, err)
@@ -139,7 +139,7 @@
 }
 
 // told logs what changed in the belief about a server.
-func (h *Handler) believed(s routing.Server, v pick.Verdict, why, attempt string) {
+func (h *Handler) believed(s routing.Server, v pick.HealthChange, why, attempt string) {
 	switch v {
 	case pick.Suspected:
 		h.Meter.Believed(s.Service, "suspected")
@@ -183,7 +183,7 @@
 	}
 	outcome := pick.Full
 	if other {
-		outcome = pick.Leaving
+		outcome = pick.ServerGone
 	}
 	x.end(outcome, "another server has its address")
 	q.h.Meter.Failed(q.service, "not run")
--- a/internal/edge/front/run.go
+++ b/internal/edge/front/run.go
@@ -132,7 +132,7 @@
 		Reason: "no capacity: " + p.Why.String(),
 		Back:   p.Back,
 		inputs: []any{
-			"server", p.Choice.Server.ID, "waitMs", p.Choice.Wait.Milliseconds(), "ownMs", p.Choice.Own.Milliseconds(),
+			"server", p.Choice.Server.ID, "waitMs", p.Choice.Wait.Milliseconds(), "ownMs", p.Choice.Processing.Milliseconds(),
 			"candidates", p.Choice.Candidates, "asked", int64(p.Rates.Asked), "served", int64(p.Rates.Served),
 			"share", int64(min(p.Level, math.MaxInt32)),
 		},
@@ -158,9 +158,9 @@
 	defer x.stopWatch()
 	if q.routine {
 		q.log(slog.LevelInfo, events.EdgeSent, "server", server.ID, "waitMs", p.Choice.Wait.Milliseconds(),
-			"ownMs", p.Choice.Own.Milliseconds(), "missing", p.Choice.Missing, "fetchAt", p.Choice.FetchAt, "candidates", p.Choice.Candidates)
+			"ownMs", p.Choice.Processing.Milliseconds(), "missing", p.Choice.UncachedTokens, "fetchAt", p.Choice.FetchFrom, "candidates", p.Choice.Candidates)
 	}
-	q.h.Meter.Sent(q.service, len(q.tried) > 1, p.Choice.FetchAt != "")
+	q.h.Meter.Sent(q.service, len(q.tried) > 1, p.Choice.FetchFrom != "")
 	answer, err := q.h.Pool.Do(ctx, q.call(p))
 	if err != nil {
 		return x.unanswered(err)
@@ -174,7 +174,7 @@
 	if q.route.Kind != routing.Stream {
 		base = lateBasePlain
 	}
-	return base + lateX*(c.Wait+c.Own)
+	return base + lateX*(c.Wait+c.Processing)
 }
 
 // call renders the request for a server.
@@ -187,7 +187,7 @@
 		ServerID: p.Choice.Server.ID,
 		Customer: q.customer,
 		After:    q.last,
-		FetchAt:  p.Choice.FetchAt,
+		FetchAt:  p.Choice.FetchFrom,
 	})
 	return upstream.Call{
 		Server:   p.Choice.Server.Identity(),
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -89,7 +89,7 @@
 	n.clock = clock.New()
 	n.state = state.New(s.DataCentre, s.RetryRatio, s.RetrySlack, n.clock.Now)
 	n.state.SetSelf(s.Control)
-	n.state.SetSlowStart(slowstart.Bound{Over: s.ColdOver, Slack: s.ColdSlack})
+	n.state.SetSlowStart(slowstart.Bound{Factor: s.ColdOver, ExtraPerSecond: s.ColdSlack})
 	n.state.SetRegions(s.Regions)
 	n.state.SetRolloutBounds(rolloutBounds(s))
 	n.store = platform.NewStore(s.Store)
@@ -292,7 +292,7 @@
 func (n *Node) logWarmups(ctx context.Context) {
 	for _, w := range n.state.TakeWarmups() {
 		events.ServerCold.Log(ctx, n.log, slog.LevelInfo, "server", w.Server.ID, "service", w.Server.Service,
-			"dataCentre", w.Server.DataCentre, "by", w.By.String(), "forMs", w.For.Milliseconds())
+			"dataCentre", w.Server.DataCentre, "by", w.Source.String(), "forMs", w.Duration.Milliseconds())
 	}
 }
 
--- a/internal/edge/peers/golden_test.go
+++ b/internal/edge/peers/golden_test.go
@@ -36,7 +36,7 @@
 		}},
 		Cores:      26.5,
 		FollowedMs: 27,
-		Sent:       pick.Sent{29: []uint32{31}},
+		Sent:       pick.SentParts{29: []uint32{31}},
 		Suspects:   map[routing.ServerKey]int{33: 34},
 		Firsts:     map[string][5]float32{"s36": [5]float32{38.5, 39.5, 40.5, 41.5, 42.5}},
 		Ends: []contentCrashes{contentCrashes{
--- a/internal/edge/peers/heartbeat.go
+++ b/internal/edge/peers/heartbeat.go
@@ -66,7 +66,7 @@
 	Known      []knownRouter                  `cbor:"10,keyasint,omitempty"` // live routers
 	Cores      float64                        `cbor:"11,keyasint,omitempty"` // processor time of the sender's host
 	FollowedMs int64                          `cbor:"12,keyasint,omitempty"` // for how long it has followed the store
-	Sent       pick.Sent                      `cbor:"13,keyasint,omitempty"` // parts of prompts sent to servers
+	Sent       pick.SentParts                      `cbor:"13,keyasint,omitempty"` // parts of prompts sent to servers
 	Suspects   map[routing.ServerKey]int      `cbor:"14,keyasint,omitempty"` // routers that suspect a server
 	Firsts     map[string][5]float32          `cbor:"15,keyasint,omitempty"` // service: sums over first tokens
 	Ends       []contentCrashes               `cbor:"16,keyasint,omitempty"` // contents under which servers ended
@@ -201,16 +201,16 @@
 func (w heartbeat) report(waited time.Duration) state.Report {
 	r := state.NewReport()
 	for key, l := range w.Loads {
-		r.Loads[key] = pick.Load{Waiting: l[0] * waitingUnit, Memory: l[1] * memoryUnit, Running: int(l[2])}
+		r.Loads[key] = pick.Load{PendingTokens: l[0] * waitingUnit, MemoryTokens: l[1] * memoryUnit, Running: int(l[2])}
 	}
 	for key, n := range w.Suspects {
 		l := r.Loads[key]
-		l.Suspects = n
+		l.Suspicions = n
 		r.Loads[key] = l
 	}
 	for key, n := range w.Unreached {
 		l := r.Loads[key]
-		l.Unreached = n
+		l.ConnectFailures = n
 		r.Loads[key] = l
 	}
 	for name, v := range w.Rates {
@@ -223,10 +223,10 @@
 	r.Crashes = readCrashes(w.Ends, waited)
 	r.Evidence = evidenceOf(w.Evidence)
 	if len(w.Firsts) > 0 {
-		r.Firsts = make(map[string]pick.FirstTokens, len(w.Firsts))
+		r.Firsts = make(map[string]pick.FirstTokenSums, len(w.Firsts))
 	}
 	for service, f := range w.Firsts {
-		r.Firsts[service] = pick.FirstTokens{N: float64(f[0]), X: float64(f[1]), Y: float64(f[2]), XX: float64(f[3]), XY: float64(f[4])}
+		r.Firsts[service] = pick.FirstTokenSums{N: float64(f[0]), X: float64(f[1]), Y: float64(f[2]), XX: float64(f[3]), XY: float64(f[4])}
 	}
 	return r
 }
@@ -270,7 +270,7 @@
 }
 
 // setSent tells parts sent to servers, as many as there is room for.
-func (w *heartbeat) setSent(sent pick.Sent, stats *Stats) {
+func (w *heartbeat) setSent(sent pick.SentParts, stats *Stats) {
 	parts := 0
 	for _, keys := range sent {
 		parts += len(keys)
@@ -279,7 +279,7 @@
 		w.Sent = sent
 		return
 	}
-	w.Sent = pick.Sent{}
+	w.Sent = pick.SentParts{}
 	told := 0
 	for _, server := range slices.Sorted(maps.Keys(sent)) {
 		keys := sent[server]
@@ -299,8 +299,8 @@
 		slices.SortFunc(keys, func(a, b routing.ServerKey) int {
 			x, y := loads[a], loads[b]
 			return cmp.Or(
-				cmp.Compare(y.Suspects+y.Unreached, x.Suspects+x.Unreached),
-				cmp.Compare(y.Waiting, x.Waiting),
+				cmp.Compare(y.Suspicions+y.ConnectFailures, x.Suspicions+x.ConnectFailures),
+				cmp.Compare(y.PendingTokens, x.PendingTokens),
 				cmp.Compare(y.Running, x.Running),
 				cmp.Compare(a, b),
 			)
@@ -311,11 +311,11 @@
 	w.Loads = make(map[routing.ServerKey][3]int64, len(keys))
 	for _, key := range keys {
 		l := loads[key]
-		if l.Waiting != 0 || l.Memory != 0 || l.Running != 0 {
-			w.Loads[key] = [3]int64{units(l.Waiting, waitingUnit), units(l.Memory, memoryUnit), int64(l.Running)}
+		if l.PendingTokens != 0 || l.MemoryTokens != 0 || l.Running != 0 {
+			w.Loads[key] = [3]int64{units(l.PendingTokens, waitingUnit), units(l.MemoryTokens, memoryUnit), int64(l.Running)}
 		}
-		w.Suspects = with(w.Suspects, key, l.Suspects)
-		w.Unreached = with(w.Unreached, key, l.Unreached)
+		w.Suspects = with(w.Suspects, key, l.Suspicions)
+		w.Unreached = with(w.Unreached, key, l.ConnectFailures)
 	}
 }
 
--- a/internal/edge/peers/join.go
+++ b/internal/edge/peers/join.go
@@ -151,13 +151,13 @@
 		p.mu.Unlock()
 		return false
 	}
-	if p.join.Over(now) {
+	if p.join.Finished(now) {
 		p.join = nil
 		p.mu.Unlock()
 		close(p.joined)
 		return false
 	}
-	ask, from := p.join.Ask(now), p.join.Fetch()
+	ask, from := p.join.NextSeed(now), p.join.NextFetch()
 	p.mu.Unlock()
 	if ask != "" {
 		w := p.heartbeat(kindOwn, state.NewReport(), nil)
@@ -208,7 +208,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.join != nil {
-		p.join.Fetched(err == nil, others, now)
+		p.join.FetchEnded(err == nil, others, now)
 	}
 }
 
@@ -282,7 +282,7 @@
 		return
 	}
 	p.spread.SetFleet(w.Fleet)
-	p.join.Answered(join.Offer{From: w.Control, HasView: w.Version != 0 && w.List != 0, Sources: w.Sources}, now)
+	p.join.HandleOffer(join.Offer{From: w.Control, HasView: w.Version != 0 && w.List != 0, Sources: w.Sources}, now)
 }
 
 // giveView gives this router's view to one that starts.
--- a/internal/edge/peers/pending.go
+++ b/internal/edge/peers/pending.go
@@ -17,15 +17,15 @@
 // updates are what is told once: the parts of prompts that were sent to servers, the
 // first tokens that were seen, and the contents under which servers crashed.
 type updates struct {
-	sent    pick.Sent
-	firsts  map[string]pick.FirstTokens
+	sent    pick.SentParts
+	firsts  map[string]pick.FirstTokenSums
 	crashes []poison.Record
 	// evidence is on new versions of servers.
 	evidence rollout.Evidence
 }
 
 func newUpdates() updates {
-	return updates{sent: pick.Sent{}, firsts: map[string]pick.FirstTokens{}, evidence: rollout.Evidence{}}
+	return updates{sent: pick.SentParts{}, firsts: map[string]pick.FirstTokenSums{}, evidence: rollout.Evidence{}}
 }
 
 // updatesOf are those of a report.
@@ -48,7 +48,7 @@
 }
 
 // addSent adds parts, as many as are kept.
-func (u updates) addSent(sent pick.Sent) {
+func (u updates) addSent(sent pick.SentParts) {
 	for key, parts := range sent {
 		if len(u.sent[key])+len(parts) <= sentMost {
 			u.sent[key] = append(u.sent[key], parts...)
@@ -57,7 +57,7 @@
 }
 
 // addFirsts adds first tokens.
-func (u updates) addFirsts(firsts map[string]pick.FirstTokens) {
+func (u updates) addFirsts(firsts map[string]pick.FirstTokenSums) {
 	for service, f := range firsts {
 		u.firsts[service] = u.firsts[service].Plus(f)
 	}
--- a/internal/edge/peers/pending_test.go
+++ b/internal/edge/peers/pending_test.go
@@ -35,24 +35,24 @@
 func TestUpdatesReachTheOtherDataCentreOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := reporter(t, now, 9)
-	near := pick.Sent{1: {1, 2}}
-	far := pick.Sent{2: {3}}
+	near := pick.SentParts{1: {1, 2}}
+	far := pick.SentParts{2: {3}}
 	p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Sent: near}, now)
 	p.take(heartbeat{Control: "127.0.0.61:1", DataCentre: "far", Kind: kindSum, Sent: far}, now)
-	p.take(heartbeat{Control: "127.0.0.62:1", DataCentre: "dc", Kind: kindTotal, Sent: pick.Sent{3: {9}}}, now)
-	out, in := p.takePending(updates{sent: pick.Sent{1: {4}}}, true, false)
-	assert.DeepEqual(t, out.sent, pick.Sent{1: {1, 2, 4}})
+	p.take(heartbeat{Control: "127.0.0.62:1", DataCentre: "dc", Kind: kindTotal, Sent: pick.SentParts{3: {9}}}, now)
+	out, in := p.takePending(updates{sent: pick.SentParts{1: {4}}}, true, false)
+	assert.DeepEqual(t, out.sent, pick.SentParts{1: {1, 2, 4}})
 	assert.Equal(t, len(in.sent), 0, "it is not told yet")
 	out, in = p.takePending(updates{}, true, true)
 	assert.Equal(t, len(out.sent), 0, "it was told")
-	assert.DeepEqual(t, in.sent, pick.Sent{1: {1, 2, 4}, 2: {3}})
+	assert.DeepEqual(t, in.sent, pick.SentParts{1: {1, 2, 4}, 2: {3}})
 }
 
 // In a small fleet each tells each: nothing is kept to be told on, or it would grow.
 func TestAMeshTellsNothingOn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := lone(t, func() time.Time { return now }, noWait)
-	p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Sent: pick.Sent{1: {1}}}, now)
+	p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Sent: pick.SentParts{1: {1}}}, now)
 	_, in := p.takePending(updates{}, true, true)
 	assert.Equal(t, len(in.sent), 0)
 }
@@ -60,7 +60,7 @@
 func TestWhatIsKeptToBeToldIsBounded(t *testing.T) {
 	n := newPending()
 	for range 10 * sentMost {
-		n.keep(kindOwn, updates{sent: pick.Sent{1: {1}}}, true)
+		n.keep(kindOwn, updates{sent: pick.SentParts{1: {1}}}, true)
 	}
 	assert.Equal(t, len(n.outward.sent[1]), sentMost)
 	assert.Equal(t, len(n.inward.sent[1]), sentMost)
@@ -100,7 +100,7 @@
 	p := lone(t, func() time.Time { return now }, noWait)
 	r := state.NewReport()
 	for i := range 160 {
-		r.Loads[routing.Identity{ID: fmt.Sprintf("i-%08x", i*77777)}.Key()] = pick.Load{Waiting: int64(2000 + 91*i), Memory: int64(60000 + 997*i), Running: 10 + i%50}
+		r.Loads[routing.Identity{ID: fmt.Sprintf("i-%08x", i*77777)}.Key()] = pick.Load{PendingTokens: int64(2000 + 91*i), MemoryTokens: int64(60000 + 997*i), Running: 10 + i%50}
 	}
 	for i := range 60 {
 		r.Rates[fmt.Sprintf("cust%03d", i)] = fair.Rates{Asked: 60000, Served: 59000}
@@ -112,7 +112,7 @@
 	assert.NilError(t, cbor.Unmarshal(text, &back))
 	got := back.report(0)
 	for key, l := range r.Loads {
-		assert.Assert(t, max(got.Loads[key].Waiting-l.Waiting, l.Waiting-got.Loads[key].Waiting) <= waitingUnit/2)
+		assert.Assert(t, max(got.Loads[key].PendingTokens-l.PendingTokens, l.PendingTokens-got.Loads[key].PendingTokens) <= waitingUnit/2)
 		assert.Equal(t, got.Loads[key].Running, l.Running)
 	}
 }
--- a/internal/edge/state/admission_test.go
+++ b/internal/edge/state/admission_test.go
@@ -27,7 +27,7 @@
 	for i := range 9 {
 		id := fmt.Sprintf("i-%d", i)
 		list = append(list, routing.Server{ID: id, Service: "llm", Addr: id, DataCentre: "dc", Slots: 128, State: routing.ServerReady})
-		loads[routing.Identity{ID: id}.Key()] = pick.Load{Waiting: waiting, Running: 5, Memory: 10_000}
+		loads[routing.Identity{ID: id}.Key()] = pick.Load{PendingTokens: waiting, Running: 5, MemoryTokens: 10_000}
 	}
 	s.ServersReplaced(list, roster.Stamp{Version: 1}, true)
 	s.PeerReport("p", Report{Loads: loads, Rates: rates})
@@ -150,7 +150,7 @@
 	}
 	served := func() float64 { return s.meter.Own(clock)["late"].Served }
 	assert.Assert(t, served() > 0, "what was just placed counts")
-	clock = clock.Add(placed[len(placed)-1].Choice.Wait + placed[0].Choice.Own + beginSlack + undoEvery)
+	clock = clock.Add(placed[len(placed)-1].Choice.Wait + placed[0].Choice.Processing + beginSlack + undoEvery)
 	s.Tick()
 	assert.Equal(t, served(), 0.0)
 	for i := range placed[:len(placed)/2] {
--- a/internal/edge/state/place.go
+++ b/internal/edge/state/place.go
@@ -76,8 +76,8 @@
 }
 
 // lacks are the reasons by those of the picker.
-var lacks = map[pick.Lack]Why{
-	pick.LackServers: WhyNoOne, pick.LackEvacuated: WhyEvacuated, pick.LackCold: WhyCold, pick.LackHome: WhyHome, pick.LackBackoff: WhyBackoff,
+var lacks = map[pick.UnavailableReason]Why{
+	pick.NoServers: WhyNoOne, pick.AllEvacuated: WhyEvacuated, pick.AllCold: WhyCold, pick.NoneInRegion: WhyHome, pick.AllInBackoff: WhyBackoff,
 }
 
 const (
@@ -126,7 +126,7 @@
 
 // serve counts a placed request as served, until it is overdue.
 func (s *State) serve(customer string, tokens float64, c pick.Choice, now time.Time) *counted {
-	placed := &counted{customer: customer, tokens: tokens, due: now.Add(c.Wait + c.Own + beginSlack)}
+	placed := &counted{customer: customer, tokens: tokens, due: now.Add(c.Wait + c.Processing + beginSlack)}
 	s.meter.Served(customer, tokens, now)
 	s.accounts.Of(customer).Placed += tokens
 	s.unbegun = append(s.unbegun, placed)
@@ -222,11 +222,11 @@
 	if !n.Again {
 		s.ask(n, now)
 	}
-	req := pick.Request{Service: n.Service, Prompt: n.Ask.Prompt, Out: n.Ask.TokensOut, Tried: n.Tried, Homes: n.Homes, Bytes: n.Bytes, Target: n.Route.Target, Apart: n.Apart}
-	req.NewPart = s.newPart(n, now)
+	req := pick.Request{Service: n.Service, Prompt: n.Ask.Prompt, MaxOutput: n.Ask.TokensOut, Tried: n.Tried, AllowedRegions: n.Homes, BodyBytes: n.Bytes, FirstTokenTarget: n.Route.Target, Isolated: n.Apart}
+	req.NewVersionShare = s.newPart(n, now)
 	c, ok := s.picker.Choose(req, now)
-	if !ok && req.NewPart > 0 {
-		req.NewPart = 0
+	if !ok && req.NewVersionShare > 0 {
+		req.NewVersionShare = 0
 		c, ok = s.picker.Choose(req, now)
 	}
 	if !ok {
@@ -253,7 +253,7 @@
 
 // lacking is the answer to a request that no server may be asked for.
 func (s *State) lacking(req pick.Request, now time.Time) Placed {
-	lack, back := s.picker.Lacks(req, now)
+	lack, back := s.picker.WhyUnavailable(req, now)
 	p := Placed{Why: lacks[lack], Back: retryMost}
 	switch p.Why {
 	case WhyEvacuated:
@@ -313,7 +313,7 @@
 	if s.meter.Ratio(n.Customer, now) > 0 {
 		return waitLimit
 	}
-	return max(waitLimit, min(belowLimit, n.Route.Target-c.Own))
+	return max(waitLimit, min(belowLimit, n.Route.Target-c.Processing))
 }
 
 // admitOver decides for a customer above its share: the further it is above,
@@ -334,7 +334,7 @@
 // those who are refused together don't return together. It is at most half of the time in which
 // the answer would still be in time: a later one takes the place of one that would be.
 func (s *State) back(n Need, c pick.Choice, why Why) time.Duration {
-	inTime := min(max((n.Route.Target-c.Own)/2, retryLeast), retryMost)
+	inTime := min(max((n.Route.Target-c.Processing)/2, retryLeast), retryMost)
 	if why == WhyOver {
 		return retryLeast + time.Duration(s.rng.Int64N(int64(inTime-retryLeast)+1))
 	}
@@ -354,12 +354,12 @@
 	}
 	p.counted.began = true
 	p.first = now
-	s.picker.First(p.Job, now)
+	s.picker.NoteFirstEvent(p.Job, now)
 }
 
 // End notes what became of a request at its server. What no server began is
 // not counted as served.
-func (s *State) End(p *Placed, o pick.Outcome) pick.Verdict {
+func (s *State) End(p *Placed, o pick.Outcome) pick.HealthChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -372,10 +372,10 @@
 }
 
 // Late notes that a server has not answered in the time in which it should.
-func (s *State) Late(j *pick.Job) pick.Verdict {
+func (s *State) Late(j *pick.Job) pick.HealthChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.picker.Late(j, s.now())
+	return s.picker.NoteOverdue(j, s.now())
 }
 
 // TakeRetry takes one repeat from the service's retry budget, and reports whether
--- a/internal/edge/state/poison.go
+++ b/internal/edge/state/poison.go
@@ -36,7 +36,7 @@
 func (s *State) Crashed(c routing.Content, server routing.Identity, sent time.Time, accepted bool) poison.Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := poison.Crash{Server: server.Key(), Sent: sent, At: s.now(), Answered: s.picker.Answered(server), Accepted: accepted}
+	e := poison.Crash{Server: server.Key(), Sent: sent, At: s.now(), Answered: s.picker.LastAnswer(server), Accepted: accepted}
 	change := s.poison.Crashed(c, e)
 	s.askStore = true
 	return change
--- a/internal/edge/state/report.go
+++ b/internal/edge/state/report.go
@@ -12,8 +12,8 @@
 type Report struct {
 	Loads   map[routing.ServerKey]pick.Load
 	Rates   map[string]fair.Rates
-	Sent    pick.Sent                   // parts of prompts sent since the last report
-	Firsts  map[string]pick.FirstTokens // first tokens seen since the last report, by service
+	Sent    pick.SentParts                   // parts of prompts sent since the last report
+	Firsts  map[string]pick.FirstTokenSums // first tokens seen since the last report, by service
 	Crashes []poison.Record             // contents under which servers crashed since the last report
 	// Light are the requests at servers whose loads are left out, since they change no choice, by
 	// service.
@@ -44,7 +44,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, l := range r.Loads {
-		if service, light := s.picker.Light(key, l); light {
+		if service, light := s.picker.IsLight(key, l); light {
 			delete(r.Loads, key)
 			r.Light[service] += l.Running
 		}
@@ -60,8 +60,8 @@
 	return Report{
 		Loads:   s.picker.Loads(now),
 		Rates:   s.meter.Own(now),
-		Sent:    s.picker.TakePending(),
-		Firsts:  s.picker.TakeFirsts(),
+		Sent:    s.picker.TakePendingParts(),
+		Firsts:  s.picker.TakeFirstTokens(),
 		Crashes: s.poison.TakeUpdates(now),
 
 		Evidence: s.takeEvidence(),
@@ -69,17 +69,17 @@
 }
 
 // HeardFirsts takes the first tokens that other routers saw.
-func (s *State) HeardFirsts(firsts map[string]pick.FirstTokens) {
+func (s *State) HeardFirsts(firsts map[string]pick.FirstTokenSums) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.picker.HeardFirsts(firsts, s.now())
+	s.picker.MergeFirstTokens(firsts, s.now())
 }
 
 // HeardSent takes other routers' report of which parts they sent where.
-func (s *State) HeardSent(sent pick.Sent) {
+func (s *State) HeardSent(sent pick.SentParts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.picker.Merge(sent, s.now())
+	s.picker.MergeParts(sent, s.now())
 }
 
 // TotalReport takes the sum over all routers, this one included.
@@ -91,7 +91,7 @@
 	s.mu.Unlock()
 	for key, l := range own {
 		if total, ok := r.Loads[key]; ok {
-			r.Loads[key] = total.Less(l)
+			r.Loads[key] = total.Minus(l)
 		}
 	}
 	for name, mine := range rates {
@@ -109,7 +109,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.picker.PeerLoads(peer, r.Loads, r.Light, now)
+	s.picker.SetPeerLoads(peer, r.Loads, r.Light, now)
 	if len(r.Rates) > 0 {
 		s.meter.Peer(peer, r.Rates, now)
 	}
--- a/internal/edge/state/rollout.go
+++ b/internal/edge/state/rollout.go
@@ -65,7 +65,7 @@
 func (s *State) RolloutInput(r rollout.Record) rollout.Input {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, servers := s.picker.Versions(r.Order.Service, r.Order.To)
+	old, servers := s.picker.CountVersions(r.Order.Service, r.Order.To)
 	return rollout.Input{Total: s.evidence.Of(r.Order.Service, r.Order.To), Old: old, Servers: servers}
 }
 
@@ -105,7 +105,7 @@
 // noteAnswer notes what a server's answer shows of its version.
 func (s *State) noteAnswer(p *Placed, o pick.Outcome, now time.Time) {
 	to, running := s.rollouts.Running(p.service)
-	if !running || p.Status == 0 || o == pick.Full || o == pick.Leaving || o == pick.Abandoned {
+	if !running || p.Status == 0 || o == pick.Full || o == pick.ServerGone || o == pick.Abandoned {
 		return
 	}
 	a := rollout.Answer{Failed: p.Status >= http.StatusInternalServerError}
--- a/internal/edge/state/servers.go
+++ b/internal/edge/state/servers.go
@@ -207,7 +207,7 @@
 func (s *State) Takes(id routing.Identity) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.picker.Takes(id)
+	return s.picker.Accepts(id)
 }
 
 // MaySend reports whether a placed request may still be sent to its server: time passes
@@ -215,7 +215,7 @@
 func (s *State) MaySend(p *Placed) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.picker.May(p.Choice.Server.Identity(), p.Choice.Cold, p.at, s.now())
+	return s.picker.MaySend(p.Choice.Server.Identity(), p.Choice.Cold, p.at, s.now())
 }
 
 // setServers has the picker take the list in force.
@@ -247,7 +247,7 @@
 // noteTakenBack tells the picker which evacuations ended lately.
 func (s *State) noteTakenBack(now time.Time) {
 	for dc, at := range s.evacuated.Ended() {
-		s.picker.TakenBack(dc, at, now)
+		s.picker.EvacuationCancelled(dc, at, now)
 	}
 }
 
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -91,7 +91,7 @@
 		return
 	}
 	q.tried = append(q.tried, p.Choice.Server.ID)
-	q.s.after(hop, func() { q.send(q.s.engines[p.Choice.Server.ID], q.s.holder(p.Choice.FetchAt), &placed{q, r, p}) })
+	q.s.after(hop, func() { q.send(q.s.engines[p.Choice.Server.ID], q.s.holder(p.Choice.FetchFrom), &placed{q, r, p}) })
 }
 
 // hostBack is when a caller returns whom a host refuses for its own load.
@@ -136,7 +136,7 @@
 
 func (w *placed) began() {
 	r := w.q.s.result
-	r.Expected = append(r.Expected, ms(w.p.Choice.Wait+w.p.Choice.Own))
+	r.Expected = append(r.Expected, ms(w.p.Choice.Wait+w.p.Choice.Processing))
 	r.Seen = append(r.Seen, ms(w.q.s.now.Sub(w.q.sentAt)))
 	w.at.First(&w.p)
 }
--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -159,8 +159,8 @@
 		return
 	}
 	total := state.NewReport()
-	sent := pick.Sent{}
-	firsts := map[string]pick.FirstTokens{}
+	sent := pick.SentParts{}
+	firsts := map[string]pick.FirstTokenSums{}
 	for _, r := range s.routers {
 		own := r.Report()
 		total.Add(own)
