--- a/internal/core/pick/cold.go
+++ b/internal/core/pick/cold.go
@@ -76,7 +76,7 @@
 // while it counted as warm, use up its permits.
 func (p *Picker) markCold(s *server, source slowstart.Source, until, now time.Time) {
 	isNew := s.cold.Mark(source, until, now)
-	if s.cold.Active(now) {
+	if s.cold.IsCold(now) {
 		p.cold[s] = true
 	}
 	if !isNew {
@@ -98,7 +98,7 @@
 // Cold returns how many servers are cold.
 func (p *Picker) Cold(now time.Time) (n int) {
 	for _, s := range p.servers {
-		if s.cold.Active(now) {
+		if s.cold.IsCold(now) {
 			n++
 		}
 	}
@@ -107,7 +107,7 @@
 
 // WarmingUp reports whether the server is cold and so slower than it will be.
 func (p *Picker) WarmingUp(id routing.Identity, now time.Time) bool {
-	return p.Known(id) && p.servers[id.ID].cold.Active(now)
+	return p.Known(id) && p.servers[id.ID].cold.IsCold(now)
 }
 
 // CountVersions returns how many requests run at the service's servers of versions other than the
@@ -126,7 +126,7 @@
 }
 
 // needsPermit reports whether a request to the server requires a permit.
-func (s *server) needsPermit(now time.Time) bool { return s.hasColdBound && s.cold.Active(now) }
+func (s *server) needsPermit(now time.Time) bool { return s.hasColdBound && s.cold.IsCold(now) }
 
 // outOfPermits reports whether the server is cold and this router has no free permit for it.
 func (p *Picker) outOfPermits(s *server, now time.Time) bool {
--- a/internal/core/pick/cold_test.go
+++ b/internal/core/pick/cold_test.go
@@ -194,11 +194,11 @@
 	p.sumPeerLoads(at(0))
 	p.updateHealth(s, ConnectFailed, at(0))
 	p.markUnreachableCold(at(0))
-	assert.Assert(t, !s.cold.Active(at(1)))
+	assert.Assert(t, !s.cold.IsCold(at(1)))
 	p.SetPeerLoad("a", map[routing.ServerKey]Load{s.key: {ConnectFailures: 1}}, at(10))
 	p.sumPeerLoads(at(10))
-	assert.Assert(t, s.cold.Active(at(11)))
-	assert.Assert(t, s.cold.Active(at(3900)) && !s.cold.Active(at(4100)))
+	assert.Assert(t, s.cold.IsCold(at(11)))
+	assert.Assert(t, s.cold.IsCold(at(3900)) && !s.cold.IsCold(at(4100)))
 	for _, s := range p.servers {
 		p.updateHealth(s, ConnectFailed, at(9000))
 		s.peerLoad.ConnectFailures = 5
--- a/internal/core/pick/estimate.go
+++ b/internal/core/pick/estimate.go
@@ -67,7 +67,7 @@
 // least coldSlowness while it is cold.
 func (s *server) relativeSlowness(median float64, now time.Time) float64 {
 	factor := max(s.slowness/median, 1)
-	if s.cold.Active(now) {
+	if s.cold.IsCold(now) {
 		factor = max(factor, coldSlowness)
 	}
 	return factor
--- a/internal/core/pick/pick.go
+++ b/internal/core/pick/pick.go
@@ -145,7 +145,7 @@
 	listName           string    // name of the list that holds it while it accepts requests
 	readySince         time.Time // since when it has been listed as ready without interruption
 	region             string
-	cold               slowstart.Cold
+	cold               slowstart.State
 	lastSent           time.Time // when this router last sent a request to it
 	lastAnswer         time.Time // when it last answered, or began to answer, a request of this router
 	unreachableUntil   time.Time // until when a failed connection attempt of this router counts
@@ -293,7 +293,7 @@
 		p.updateLifetime(spd, list, now)
 	}
 	for s := range p.cold {
-		if !s.cold.Active(now) {
+		if !s.cold.IsCold(now) {
 			delete(p.cold, s)
 		}
 	}
--- a/internal/core/slowstart/fleet.go
+++ b/internal/core/slowstart/fleet.go
@@ -6,21 +6,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fleet is the routers among which permits are shared out, as one of them knows them. Those
-// that have fallen silent count for long: a router that is cut off from others has the permits
-// that it had, and no more.
+// Fleet is one router's view of the routers that share the permits. Routers that stopped
+// responding stay in the view for a long time: a router that is cut off from others keeps its
+// permits and gets no more.
 type Fleet struct {
 	self    uint64
-	routers []uint64 // hashes of their names, without this one
-	trusted bool
+	routers []uint64 // sorted hashes of the names of the other routers
+	trusted bool     // the view is complete enough to use permits
 	changes int
 }
 
-// NewFleet returns that of a router which knows no others yet: it has no permits.
+// NewFleet returns the fleet of a router that knows no others yet and so has no permits.
 func NewFleet(self string) *Fleet { return &Fleet{self: xxhash.Sum64String(self)} }
 
-// Set takes the other routers. trusted says that they are known well enough: most of them
-// were heard of lately, and this router has had the time to hear of all.
+// Set sets the other routers. trusted states that the view is complete enough: most of the routers
+// were heard from recently, and this router has run long enough to hear from all.
 func (f *Fleet) Set(others []string, trusted bool) {
 	hashes := make([]uint64, 0, len(others))
 	for _, name := range others {
@@ -35,33 +35,34 @@
 	f.changes++
 }
 
-// Changes counts the changes of the fleet, for who keeps what Slots returned.
+// Changes returns the number of changes of the fleet, so that callers can cache the result of
+// PermitShare.
 func (f *Fleet) Changes() int { return f.changes }
 
-// PermitShare returns how many of a server's permits are this router's. The routers stand in the
-// order of their hashes with the server's, and permits go round from the first one.
+// PermitShare returns how many of a server's permits belong to this router. The permits are dealt
+// out in turn to the routers, in the order of their ranks for the server.
 func (f *Fleet) PermitShare(server uint64, permits int) int {
 	if !f.trusted || permits <= 0 {
 		return 0
 	}
-	all := len(f.routers) + 1
-	return max(0, (permits-f.Rank(server)+all-1)/all)
+	total := len(f.routers) + 1
+	return max(0, (permits-f.Rank(server)+total-1)/total)
 }
 
-// Rank returns the place of this router for a hash, 0 for the first one.
+// Rank returns the rank of this router for a hash; the first one has rank 0.
 func (f *Fleet) Rank(hash uint64) int {
-	mine := score(f.self, hash)
-	before := 0
+	own := score(f.self, hash)
+	rank := 0
 	for _, r := range f.routers {
-		if score(r, hash) > mine {
-			before++
+		if score(r, hash) > own {
+			rank++
 		}
 	}
-	return before
+	return rank
 }
 
-// score is the place of a router for a server, the highest first. The finaliser is that of
-// the 64-bit variant of MurmurHash3.
+// score returns the rendezvous score of a router for a server; the highest score ranks first. The
+// finaliser is that of the 64-bit variant of MurmurHash3.
 func score(router, server uint64) uint64 {
 	h := router ^ server*0x9e3779b97f4a7c15
 	h ^= h >> 33
--- a/internal/core/slowstart/slowstart.go
+++ b/internal/core/slowstart/slowstart.go
@@ -1,10 +1,11 @@
-// Package slowstart bounds what a fleet sends to a backend server that has just started: cold,
-// it bears few requests a second and ends well above that. Each router sees a small part of
-// what a server gets, so a router may send to a cold server only what its own permits for it
-// allow. They follow from the routers that it knows, by rendezvous hashing, and no message
-// gives them out; docs/design/slow-start.md has the proof of the bound.
+// Package slowstart limits the rate of requests that a fleet sends to a backend server that has
+// just started: while cold, it handles few requests a second, well below its usual rate. Each
+// router sees only a small part of the requests that a server gets, so a router may send to a cold
+// server only what its own share of permits allows. The shares are computed by rendezvous hashing
+// from the routers that it knows, without any messages; docs/design/slow-start.md proves the
+// bound.
 //
-// The package has no input or output; time comes in as an argument.
+// The package does no I/O; time is passed in as an argument.
 package slowstart
 
 import (
@@ -14,71 +15,71 @@
 )
 
 const (
-	// Window is the time in which one permit allows one request: the second over which the
-	// bound counts, and what a request may take longer than another from its choice to the
-	// server.
+	// Window is the time in which one permit allows one request. It is the second over which the
+	// limit is defined, plus the variation of the time between the choice of a server and the
+	// arrival of the request there.
 	Window = 1100 * time.Millisecond
-	// views is how many sets of routers may give out a server's permits at a time: while
-	// routers join or fall silent, some know one set and some the next.
-	views = 2
-	// mostPermits bounds what a configuration may say: no server gets as many requests a second.
-	mostPermits = 10_000
+	// maxViews is how many different views of the fleet may assign a server's permits at the same
+	// time: while routers join or fail, some have the old view and some the new one.
+	maxViews = 2
+	// maxPermits caps the configured rate; no server gets as many requests a second.
+	maxPermits = 10_000
 )
 
-// Bound is by how much a fleet may exceed what servers bear, as the operator allows it.
+// Bound defines by how much a fleet may exceed the rate that cold servers handle, as set by the
+// operator.
 type Bound struct {
-	Factor         float64 // times what a server bears a second
-	ExtraPerSecond float64 // requests beside, a second
+	Factor         float64 // multiple of the server's rate
+	ExtraPerSecond float64 // added to it, in requests a second
 }
 
-// Permits is how many permits there are for one cold server of a service; 0 or less: none,
-// limited false: it is not bounded.
+// Permits returns the number of permits for one cold server of a service; with 0 or less, nothing
+// may be sent. limited is false if the service has no limit.
 func (b Bound) Permits(s routing.SlowStart) (permits int, limited bool) {
 	if s.For <= 0 || s.PerSecond <= 0 {
 		return 0, false
 	}
-	return int(min((s.PerSecond*b.Factor+b.ExtraPerSecond)/views, mostPermits)), true
+	return int(min((s.PerSecond*b.Factor+b.ExtraPerSecond)/maxViews, maxPermits)), true
 }
 
-// Source is what says that a server is cold.
+// Source is the reason why a server counts as cold.
 type Source int
 
-// The sources.
 const (
-	ByEntry               Source = iota // its own entry in the platform's list
-	ByEvacuationCancelled               // its data centre was evacuated until a moment ago
-	ByConnectFailures                   // routers could not reach it until a moment ago
-	sources
+	ByEntry               Source = iota // its entry in the platform's list
+	ByEvacuationCancelled               // the evacuation of its data centre was cancelled recently
+	ByConnectFailures                   // routers recently failed to connect to it
+	sourceCount
 )
 
-var sourceNames = [sources]string{"its entry", "evacuation taken back", "not reached"}
+var sourceNames = [sourceCount]string{"server entry", "evacuation cancelled", "connection failures"}
 
-// String returns the source's name.
 func (s Source) String() string { return sourceNames[s] }
 
-// Cold is what is believed of one server. The zero value is a warm one.
-type Cold struct {
-	until [sources]time.Time
-	used  []time.Time // when requests were sent on permits, within the last window
+// State is whether one server is cold, and the use of its permits. The zero value is a warm
+// server.
+type State struct {
+	until  [sourceCount]time.Time
+	usedAt []time.Time // when permits were used within the last window
 }
 
-// Mark notes that the server is cold until then, by the source. It reports whether it was warm.
-func (c *Cold) Mark(by Source, until, now time.Time) (fresh bool) {
-	fresh = !c.Active(now) && until.After(now)
-	if until.After(c.until[by]) {
-		c.until[by] = until
+// Mark marks the server as cold until the given time, for the source. It reports whether this made
+// a warm server cold.
+func (c *State) Mark(source Source, until, now time.Time) (newlyCold bool) {
+	newlyCold = !c.IsCold(now) && until.After(now)
+	if until.After(c.until[source]) {
+		c.until[source] = until
 	}
-	return fresh
+	return newlyCold
 }
 
-// Clear notes that the source says no longer that the server is cold.
-func (c *Cold) Clear(by Source) { c.until[by] = time.Time{} }
+// Clear removes the mark of the source.
+func (c *State) Clear(source Source) { c.until[source] = time.Time{} }
 
-// Active reports whether the server is cold.
-func (c *Cold) Active(now time.Time) bool { return now.Before(c.Until()) }
+func (c *State) IsCold(now time.Time) bool { return now.Before(c.Until()) }
 
-// Until returns when the server is warm.
-func (c *Cold) Until() (until time.Time) {
+// Until returns when the server becomes warm.
+func (c *State) Until() (until time.Time) {
 	for _, t := range c.until {
 		if t.After(until) {
 			until = t
@@ -87,21 +88,20 @@
 	return until
 }
 
-// UseAll uses up the permits: what was sent within the last window, before the server was known
-// to be cold, counts against the bound too.
-func (c *Cold) UseAll(permits int, now time.Time) {
+// UseAll uses all permits, because requests sent within the last window, before the server was
+// known to be cold, count against the limit too.
+func (c *State) UseAll(permits int, now time.Time) {
 	for range permits {
 		c.Use(now)
 	}
 }
 
-// Free reports whether one of this router's permits is unused in the last window.
-func (c *Cold) Free(permits int, now time.Time) bool {
-	for len(c.used) > 0 && now.Sub(c.used[0]) >= Window {
-		c.used = c.used[1:]
+// Free reports whether one of this router's permits was not used within the last window.
+func (c *State) Free(permits int, now time.Time) bool {
+	for len(c.usedAt) > 0 && now.Sub(c.usedAt[0]) >= Window {
+		c.usedAt = c.usedAt[1:]
 	}
-	return len(c.used) < permits
+	return len(c.usedAt) < permits
 }
 
-// Use uses a permit.
-func (c *Cold) Use(now time.Time) { c.used = append(c.used, now) }
+func (c *State) Use(now time.Time) { c.usedAt = append(c.usedAt, now) }
