--- a/internal/core/join/join.go
+++ b/internal/core/join/join.go
@@ -1,7 +1,8 @@
-// Package join decides how a router that starts gets its first view of the fleet: whom it asks,
-// when it asks again, and from when on it reads the platform's store itself. Every router of a
-// fleet may start at the same moment, so that a hundred times as many must not ask the store a
-// hundred times as often. It has no input or output; time and randomness come in as arguments.
+// Package join decides how a router that starts obtains its first view of the fleet: which routers
+// it asks, when it retries, and when it falls back to reading the platform's store itself. All
+// routers of a fleet may start at the same time, and a fleet 100 times as large must not query the
+// store 100 times as often. The package does no I/O; time and randomness are passed in as
+// arguments.
 package join
 
 import (
@@ -11,129 +12,133 @@
 )
 
 const (
-	// answerWithin is how long a seed is waited for before the next one is asked: one in another
-	// data centre answers in some milliseconds, one that has no power never.
-	answerWithin = 150 * time.Millisecond
-	// again is about the pause before a router that has no view yet is asked once more, and
-	// busyAgain that before a router that gives its view to many others is.
-	again     = 400 * time.Millisecond
-	busyAgain = 150 * time.Millisecond
-	// patience is how long a router that has no view yet is waited for: it reads the store. At the
-	// first start of the whole fleet nothing is asked of it yet, and firstPatience is the longest.
-	patience      = 1200 * time.Millisecond
-	firstPatience = 3 * time.Second
-	// spreadOver is the time over which routers that have waited in vain begin to read the store,
-	// and rampDoubles that in which twice as many do: the first of them is asked by the others.
-	spreadOver  = 2 * time.Second
-	rampDoubles = spreadOver / 8
+	// answerTimeout is how long to wait for the answer of a seed before the next one is asked. A
+	// seed in another data centre answers within a few milliseconds; one without power never does.
+	answerTimeout = 150 * time.Millisecond
+	// retryInterval is the average delay before a router that had no view is asked again, and
+	// busyRetryInterval the delay for a router that is busy sending its view to others.
+	retryInterval     = 400 * time.Millisecond
+	busyRetryInterval = 150 * time.Millisecond
+	// maxWait is how long to wait for the view of a router that has none yet because it is reading
+	// the store. The first start of the whole fleet uses the longer firstStartMaxWait, since there
+	// are no requests to serve yet.
+	maxWait           = 1200 * time.Millisecond
+	firstStartMaxWait = 3 * time.Second
+	// readSpread is the period over which routers that waited without success begin to read the
+	// store. The number that have begun doubles every readDoubling, so that the first ones to
+	// finish can serve the others.
+	readSpread   = 2 * time.Second
+	readDoubling = readSpread / 8
 )
 
-// Offer is what a router that was asked answers.
+// Offer is the answer of a router that was asked for its view.
 type Offer struct {
 	From    string
 	HasView bool
-	// Sources are routers that give their views, those of the asker's data centre. None: the
-	// router that was asked itself, if it has a view, or others that have it soon.
+	// Sources are routers that provide their views, in the data centre of the requester. If it is
+	// empty, the router that was asked or others may have a view soon, or the router is busy if
+	// HasView is set.
 	Sources []string
 }
 
-// Join is one start. It is not safe for concurrent use.
+// Join is the state of one start of a router. It is not safe for concurrent use.
 type Join struct {
 	rng        *rand.Rand
 	seeds      []string // in the order in which they are asked, without this router
-	root       bool     // this router is a seed itself
+	isSeed     bool     // this router is a seed
 	firstStart bool
-	began      time.Time
-	next       int // of seeds
-	askAt      time.Time
+	startedAt  time.Time
+	nextSeed   int // index into seeds
+	nextAskAt  time.Time
 	rounds     int
-	answered   bool // somebody lives
+	anyAnswer  bool // at least one router has answered
 	sources    []string
 	fetching   bool
 	done       bool
 	readAt     time.Time // when this router reads the store if it has no view by then
 }
 
-// New returns the start of the router self at the moment.
+// New returns the state of a router that starts at now.
 func New(self string, seeds []string, firstStart bool, rng *rand.Rand, now time.Time) *Join {
-	j := &Join{rng: rng, firstStart: firstStart, root: slices.Contains(seeds, self), began: now}
+	j := &Join{rng: rng, firstStart: firstStart, isSeed: slices.Contains(seeds, self), startedAt: now}
 	for _, s := range seeds {
 		if s != self && s != "" {
 			j.seeds = append(j.seeds, s)
 		}
 	}
 	rng.Shuffle(len(j.seeds), func(a, b int) { j.seeds[a], j.seeds[b] = j.seeds[b], j.seeds[a] })
-	j.askAt = now
+	j.nextAskAt = now
 	switch {
-	case len(j.seeds) == 0 || j.root && firstStart:
+	case len(j.seeds) == 0 || j.isSeed && firstStart:
 		j.readAt = now
 	case firstStart:
-		j.readAt = now.Add(firstPatience + j.ramp())
+		j.readAt = now.Add(firstStartMaxWait + j.readDelay())
 	default:
-		j.readAt = now.Add(time.Duration(len(j.seeds)) * answerWithin)
+		j.readAt = now.Add(time.Duration(len(j.seeds)) * answerTimeout)
 	}
 	return j
 }
 
-// ramp draws when a router that has waited in vain reads the store: few do at first.
-func (j *Join) ramp() time.Duration {
-	d := spreadOver
-	for d > 0 && j.rng.IntN(2) == 0 {
-		d -= rampDoubles
+// readDelay returns a random delay after which a router that waited without success reads the
+// store. Short delays are rare, so that few routers read it at first.
+func (j *Join) readDelay() time.Duration {
+	delay := readSpread
+	for delay > 0 && j.rng.IntN(2) == 0 {
+		delay -= readDoubling
 	}
-	return max(d, 0)
+	return max(delay, 0)
 }
 
-// Done notes that a view was taken.
-func (j *Join) Done() { j.done = true }
+// ViewReceived records that the router has a view.
+func (j *Join) ViewReceived() { j.done = true }
 
-// Finished reports whether the view was found, or the store is to be read.
+// Finished reports whether the router has a view or must read the store now.
 func (j *Join) Finished(now time.Time) bool { return j.done || !now.Before(j.readAt) && !j.fetching }
 
-// NextSeed returns the router to ask now; empty: none.
+// NextSeed returns the router to ask for a view now; empty if none.
 func (j *Join) NextSeed(now time.Time) string {
-	if j.Finished(now) || j.fetching || len(j.sources) > 0 || now.Before(j.askAt) || len(j.seeds) == 0 {
+	if j.Finished(now) || j.fetching || len(j.sources) > 0 || now.Before(j.nextAskAt) || len(j.seeds) == 0 {
 		return ""
 	}
-	seed := j.seeds[j.next]
-	j.next = (j.next + 1) % len(j.seeds)
-	wait := answerWithin
-	if j.next == 0 {
+	seed := j.seeds[j.nextSeed]
+	j.nextSeed = (j.nextSeed + 1) % len(j.seeds)
+	interval := answerTimeout
+	if j.nextSeed == 0 {
 		j.rounds++
 	}
 	if j.rounds > 0 {
-		wait = j.about(again)
+		interval = j.jitter(retryInterval)
 	}
-	j.askAt = now.Add(wait)
+	j.nextAskAt = now.Add(interval)
 	return seed
 }
 
-// about draws a duration near d.
-func (j *Join) about(d time.Duration) time.Duration {
+// jitter returns a random duration between 0.5 and 1.5 times d.
+func (j *Join) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(j.rng.Int64N(int64(d)))
 }
 
-// HandleOffer takes the answer of a router that was asked.
-func (j *Join) HandleOffer(o Offer, now time.Time) {
-	if !j.answered && !j.firstStart && !j.root {
-		j.readAt = j.began.Add(patience + j.ramp())
+// HandleOffer processes the answer of a router that was asked for its view.
+func (j *Join) HandleOffer(offer Offer, now time.Time) {
+	if !j.anyAnswer && !j.firstStart && !j.isSeed {
+		j.readAt = j.startedAt.Add(maxWait + j.readDelay())
 	}
-	j.answered = true
+	j.anyAnswer = true
 	j.rounds = max(j.rounds, 1)
 	switch {
-	case len(o.Sources) > 0:
-		j.sources = slices.Clone(o.Sources)
+	case len(offer.Sources) > 0:
+		j.sources = slices.Clone(offer.Sources)
 		j.rng.Shuffle(len(j.sources), func(a, b int) { j.sources[a], j.sources[b] = j.sources[b], j.sources[a] })
-	case o.HasView:
-		// Others of this data centre fetch it at the moment, and give it on.
-		j.askAt = now.Add(j.about(busyAgain))
+	case offer.HasView:
+		// Other routers of this data centre are fetching the view and will provide it in turn.
+		j.nextAskAt = now.Add(j.jitter(busyRetryInterval))
 	default:
-		j.askAt = now.Add(j.about(again))
+		j.nextAskAt = now.Add(j.jitter(retryInterval))
 	}
 }
 
-// NextFetch returns the router to fetch the view from now; empty: none. Fetched is called with what
-// came of it.
+// NextFetch returns the router to fetch the view from now; empty if none. The caller must report
+// the result with FetchEnded.
 func (j *Join) NextFetch() string {
 	if j.done || j.fetching || len(j.sources) == 0 {
 		return ""
@@ -144,15 +149,16 @@
 	return from
 }
 
-// FetchEnded notes that a fetch has ended. others are routers that the one asked named in its place.
-func (j *Join) FetchEnded(found bool, others []string, now time.Time) {
+// FetchEnded records the end of a fetch. alternatives are the routers to which the asked one
+// referred instead.
+func (j *Join) FetchEnded(found bool, alternatives []string, now time.Time) {
 	j.fetching = false
 	j.done = j.done || found
 	if found {
 		return
 	}
-	if len(others) > 0 {
-		j.sources = slices.Clone(others)
+	if len(alternatives) > 0 {
+		j.sources = slices.Clone(alternatives)
 	}
-	j.askAt = now.Add(j.about(busyAgain))
+	j.nextAskAt = now.Add(j.jitter(busyRetryInterval))
 }
--- a/internal/core/pick/cold.go
+++ b/internal/core/pick/cold.go
@@ -30,8 +30,8 @@
 // list take effect with the next list of servers.
 func (p *Picker) SetRollouts(l *rollout.List) { p.rollouts = l }
 
-// SetBound sets by how much the request rate to cold servers may exceed their capacity.
-func (p *Picker) SetBound(b slowstart.Bound) {
+// SetColdRateBound sets by how much the request rate to cold servers may exceed their capacity.
+func (p *Picker) SetColdRateBound(b slowstart.RateBound) {
 	p.coldBound = b
 	for _, s := range p.servers {
 		p.describe(s)
--- a/internal/core/pick/cold_test.go
+++ b/internal/core/pick/cold_test.go
@@ -15,7 +15,7 @@
 
 var (
 	coldRate   = routing.SlowStart{For: 3 * time.Second, PerSecond: 9.8}
-	fleetBound = slowstart.Bound{Factor: 1.5, ExtraPerSecond: 5}
+	fleetBound = slowstart.RateBound{Factor: 1.5, ExtraPerSecond: 5}
 )
 
 const allowedPerSecond = 19 // requests per second by coldRate and fleetBound
@@ -24,7 +24,7 @@
 // rate is limited while they are cold.
 func pickerInFleet(router, routers, engines int) *Picker {
 	p := New("dc0", rand.New(rand.NewPCG(uint64(router), 9)))
-	p.SetBound(fleetBound)
+	p.SetColdRateBound(fleetBound)
 	p.SetServices([]routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 64, CacheTokens: 232000, FetchPerToken: 2383}, SlowStart: coldRate}})
 	p.SetServers(engineList(engines, 0, 0), start)
 	f := slowstart.NewFleet(fmt.Sprint("r", router))
--- a/internal/core/pick/pick.go
+++ b/internal/core/pick/pick.go
@@ -186,7 +186,7 @@
 	regions            map[string]string         // by data centre
 	fleet              *slowstart.Fleet
 	rollouts           *rollout.List
-	coldBound          slowstart.Bound
+	coldBound          slowstart.RateBound
 	warmups            []Warmup // since the last call of TakeWarmups
 	notices            map[routing.Identity]*notice
 	returned           []ReturnedServer // since the last call of TakeReturned
--- a/internal/core/slowstart/slowstart.go
+++ b/internal/core/slowstart/slowstart.go
@@ -26,16 +26,16 @@
 	maxPermits = 10_000
 )
 
-// Bound defines by how much a fleet may exceed the rate that cold servers handle, as set by the
+// RateBound defines by how much a fleet may exceed the rate that cold servers handle, as set by the
 // operator.
-type Bound struct {
+type RateBound struct {
 	Factor         float64 // multiple of the server's rate
 	ExtraPerSecond float64 // added to it, in requests a second
 }
 
 // Permits returns the number of permits for one cold server of a service; with 0 or less, nothing
 // may be sent. limited is false if the service has no limit.
-func (b Bound) Permits(s routing.SlowStart) (permits int, limited bool) {
+func (b RateBound) Permits(s routing.SlowStart) (permits int, limited bool) {
 	if s.For <= 0 || s.PerSecond <= 0 {
 		return 0, false
 	}
--- a/internal/core/slowstart/slowstart_test.go
+++ b/internal/core/slowstart/slowstart_test.go
@@ -17,7 +17,7 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func TestPermitsAreHalfOfAllowedRate(t *testing.T) {
-	b := Bound{Factor: 1.5, ExtraPerSecond: 5}
+	b := RateBound{Factor: 1.5, ExtraPerSecond: 5}
 	n, limited := b.Permits(routing.SlowStart{For: 3 * time.Second, PerSecond: 9.8})
 	assert.Assert(t, limited)
 	assert.Equal(t, n, 9)
@@ -25,7 +25,7 @@
 		_, limited = b.Permits(unlimited)
 		assert.Assert(t, !limited)
 	}
-	n, limited = Bound{Factor: 1}.Permits(routing.SlowStart{For: time.Second, PerSecond: 1})
+	n, limited = RateBound{Factor: 1}.Permits(routing.SlowStart{For: time.Second, PerSecond: 1})
 	assert.Assert(t, limited && n == 0, "less than one permit")
 	n, _ = b.Permits(routing.SlowStart{For: time.Second, PerSecond: 1e300})
 	assert.Equal(t, n, maxPermits)
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -89,7 +89,7 @@
 	n.clock = clock.New()
 	n.state = state.New(s.DataCentre, s.RetryRatio, s.RetrySlack, n.clock.Now)
 	n.state.SetSelf(s.Control)
-	n.state.SetSlowStart(slowstart.Bound{Factor: s.ColdOver, ExtraPerSecond: s.ColdSlack})
+	n.state.SetSlowStart(slowstart.RateBound{Factor: s.ColdOver, ExtraPerSecond: s.ColdSlack})
 	n.state.SetRegions(s.Regions)
 	n.state.SetRolloutBounds(rolloutBounds(s))
 	n.store = platform.NewStore(s.Store)
--- a/internal/edge/state/cold_test.go
+++ b/internal/edge/state/cold_test.go
@@ -17,7 +17,7 @@
 func TestAnEntryWrittenAgainWithTheSameWarmupIsNews(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New("dc", 0.2, 80, func() time.Time { return now })
-	s.SetSlowStart(slowstart.Bound{Factor: 1})
+	s.SetSlowStart(slowstart.RateBound{Factor: 1})
 	s.TakeConfig(&routing.Config{Version: 1, Services: []routing.Service{
 		{Name: "llm", SlowStart: routing.SlowStart{For: 2 * time.Second, PerSecond: 20}},
 	}}, nil)
@@ -39,7 +39,7 @@
 	source := New("dc", 0.2, 80, func() time.Time { return now })
 	peer := New("dc", 0.2, 80, func() time.Time { return now })
 	for _, s := range []*State{source, peer} {
-		s.SetSlowStart(slowstart.Bound{Factor: 1})
+		s.SetSlowStart(slowstart.RateBound{Factor: 1})
 		s.TakeConfig(config, nil)
 	}
 	cold := routing.Server{ID: "i", Service: "llm", State: routing.ServerReady, Slots: 4, Warmup: 2 * time.Second}
@@ -62,7 +62,7 @@
 func TestListWithoutVersionsDoesNotRestartTheWarmup(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New("dc", 0.2, 80, func() time.Time { return now })
-	s.SetSlowStart(slowstart.Bound{Factor: 1})
+	s.SetSlowStart(slowstart.RateBound{Factor: 1})
 	s.TakeConfig(&routing.Config{Version: 1, Services: []routing.Service{
 		{Name: "llm", SlowStart: routing.SlowStart{For: 2 * time.Second, PerSecond: 20}},
 	}}, nil)
--- a/internal/edge/state/evacuation.go
+++ b/internal/edge/state/evacuation.go
@@ -119,10 +119,10 @@
 }
 
 // SetSlowStart takes by how much what cold servers bear may be exceeded.
-func (s *State) SetSlowStart(b slowstart.Bound) {
+func (s *State) SetSlowStart(b slowstart.RateBound) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.picker.SetBound(b)
+	s.picker.SetColdRateBound(b)
 }
 
 // SetRegions takes the region of each data centre.
