--- a/internal/core/pick/cache.go
+++ b/internal/core/pick/cache.go
@@ -115,16 +115,16 @@
 
 // queueAdvertisements queues updates for other routers about the shared parts that are sent to the
 // server, unless they were advertised recently. It must be called before recordSentParts.
-func (p *Picker) queueAdvertisements(s *server, prompt []routing.Part, keys []uint32, spd *speed, now time.Time) {
+func (p *Picker) queueAdvertisements(s *server, prompt []routing.Part, keys []uint32, estimates *speed, now time.Time) {
 	if len(prompt) < 2 {
 		return
 	}
-	rate, _ := spd.firstToken.fit()
+	rate, _ := estimates.firstToken.fit()
 	if float64(routing.Tokens(prompt[:len(prompt)-1])) < minFetchTokens(s.engine, rate) {
 		return
 	}
 	for _, key := range keys[:len(prompt)-1] {
-		if now.Sub(s.advertisedAt[key]) < spd.lifetime/advertisementsPerLifetime || p.pendingCount >= maxPendingParts {
+		if now.Sub(s.advertisedAt[key]) < estimates.lifetime/advertisementsPerLifetime || p.pendingCount >= maxPendingParts {
 			continue
 		}
 		s.markAdvertised(key, now)
@@ -192,28 +192,28 @@
 // updateLifetime estimates how long the service's engines keep a part: the time that all routers
 // together need to fill their caches. The fill rate of the other routers is extrapolated from this
 // router's rate by the number of running requests.
-func (p *Picker) updateLifetime(spd *speed, list []*server, now time.Time) {
+func (p *Picker) updateLifetime(estimates *speed, list []*server, now time.Time) {
 	if len(list) == 0 || list[0].engine == nil {
 		return
 	}
-	dt := now.Sub(spd.fillUpdated)
-	spd.fillUpdated = now
+	dt := now.Sub(estimates.fillUpdated)
+	estimates.fillUpdated = now
 	if dt <= 0 || dt > maxLifetime {
 		return
 	}
 	weight := min(float64(dt)/float64(fillRateWindow), 1)
-	spd.fillRate += weight * (spd.filledTokens/dt.Seconds() - spd.fillRate)
-	spd.filledTokens = 0
+	estimates.fillRate += weight * (estimates.filledTokens/dt.Seconds() - estimates.fillRate)
+	estimates.filledTokens = 0
 	own, all := p.runningRequests(list[0].Service)
-	spd.ownRunning += weight * (float64(own) - spd.ownRunning)
-	spd.allRunning += weight * (float64(all) - spd.allRunning)
-	fleetFillRate := spd.fillRate * max(spd.allRunning, 1) / max(spd.ownRunning, 0.1)
+	estimates.ownRunning += weight * (float64(own) - estimates.ownRunning)
+	estimates.allRunning += weight * (float64(all) - estimates.allRunning)
+	fleetFillRate := estimates.fillRate * max(estimates.allRunning, 1) / max(estimates.ownRunning, 0.1)
 	if fleetFillRate <= 0 {
-		spd.lifetime = maxLifetime
+		estimates.lifetime = maxLifetime
 		return
 	}
 	seconds := float64(list[0].engine.CacheTokens) * float64(len(list)) / fleetFillRate
-	spd.lifetime = min(max(time.Duration(min(seconds, maxLifetime.Seconds())*float64(time.Second)), minLifetime), maxLifetime)
+	estimates.lifetime = min(max(time.Duration(min(seconds, maxLifetime.Seconds())*float64(time.Second)), minLifetime), maxLifetime)
 }
 
 // runningRequests returns how many requests of this router, and of all routers, run at the
--- a/internal/core/pick/estimate.go
+++ b/internal/core/pick/estimate.go
@@ -30,9 +30,9 @@
 	if s.engine == nil {
 		return p.estimatePlain(s, now)
 	}
-	spd := p.speedOf(s.Service)
-	rate, base := spd.firstToken.fit()
-	slowness := s.relativeSlowness(spd.medianSlowness, now)
+	estimates := p.speedOf(s.Service)
+	rate, base := estimates.firstToken.fit()
+	slowness := s.relativeSlowness(estimates.medianSlowness, now)
 	rate /= slowness
 	work := p.prefillWork(s, req, promptHomes, rate, now)
 	costMs := work.cost(rate)
--- a/internal/core/pick/index.go
+++ b/internal/core/pick/index.go
@@ -53,8 +53,9 @@
 }
 
 // window returns the servers whose hashes share a prefix with the key, from a list sorted by hash.
-// The prefix is as long as leaves at least minWindow servers. All routers compute the same window
-// without communicating, and adding or removing a server changes it only for keys near its hash.
+// It is the longest prefix that at least minWindow servers share with the key. All routers compute
+// the same window without communicating, and adding or removing a server changes it only for keys
+// near its hash.
 func window(list []*server, key uint64) []*server {
 	start := uint64(0)
 	for bit := uint64(1) << 63; bit != 0; bit >>= 1 {
--- a/internal/core/pick/index_test.go
+++ b/internal/core/pick/index_test.go
@@ -163,7 +163,7 @@
 			s.Service = rapid.SampledFrom([]string{"llm", "app"}).Draw(t, "service")
 			return s
 		})
-		replaced, changedInPlace := largePicker(0, 1), largePicker(0, 1)
+		replaced, incremental := largePicker(0, 1), largePicker(0, 1)
 		listed := map[string]routing.Server{}
 		for range rapid.IntRange(1, 8).Draw(t, "rounds") {
 			changed := rapid.SliceOfNDistinct(entry, 0, 10, func(s routing.Server) string { return s.ID }).Draw(t, "changed")
@@ -179,11 +179,11 @@
 				list = append(list, s)
 			}
 			replaced.SetServers(list, start)
-			changedInPlace.ChangeServers(changed, removed, start)
-			assert.DeepEqual(t, ids(changedInPlace.services), ids(replaced.services))
-			assert.DeepEqual(t, ids(changedInPlace.nearby), ids(replaced.nearby))
-			assert.Equal(t, len(changedInPlace.servers), len(replaced.servers))
-			assert.Equal(t, len(changedInPlace.serversByKey), len(replaced.serversByKey))
+			incremental.ChangeServers(changed, removed, start)
+			assert.DeepEqual(t, ids(incremental.services), ids(replaced.services))
+			assert.DeepEqual(t, ids(incremental.nearby), ids(replaced.nearby))
+			assert.Equal(t, len(incremental.servers), len(replaced.servers))
+			assert.Equal(t, len(incremental.serversByKey), len(replaced.serversByKey))
 		}
 	})
 }
--- a/internal/core/pick/job.go
+++ b/internal/core/pick/job.go
@@ -73,10 +73,10 @@
 		j.uncachedTokens = int64(c.UncachedTokens)
 		j.memoryTokens = int64(routing.Tokens(req.Prompt) + req.MaxOutput)
 		p.promptKeys = appendPartKeys(p.promptKeys[:0], req.Prompt)
-		spd := p.speedOf(req.Service)
-		p.queueAdvertisements(s, req.Prompt, p.promptKeys, spd, now)
+		estimates := p.speedOf(req.Service)
+		p.queueAdvertisements(s, req.Prompt, p.promptKeys, estimates, now)
 		p.recordSentParts(s, p.promptKeys, now)
-		spd.filledTokens += float64(c.UncachedTokens + req.MaxOutput)
+		estimates.filledTokens += float64(c.UncachedTokens + req.MaxOutput)
 	}
 	if len(s.awaitingFirstEvent) == 0 {
 		s.lastProgress = now
--- a/internal/core/pick/loads.go
+++ b/internal/core/pick/loads.go
@@ -49,7 +49,7 @@
 func (p *Picker) IsLight(key routing.ServerKey, l Load) (service string, light bool) {
 	s := p.serversByKey[key]
 	if s == nil || s.engine == nil || l.PendingTokens > 0 || l.Suspicions+l.ConnectFailures > 0 || !s.accepts {
-		return "", false // its running requests must be reported, since others wait for them to end
+		return "", false // other routers wait for the requests on a server that accepts no more to end
 	}
 	return s.Service, l.Running < max(s.engine.Slots/lightLoadDivisor, 1) && l.MemoryTokens < s.engine.CacheTokens/lightLoadDivisor
 }
--- a/internal/core/pick/local_homes_test.go
+++ b/internal/core/pick/local_homes_test.go
@@ -25,7 +25,7 @@
 func TestPromptsStayInDataCentreWithLocalHomes(t *testing.T) {
 	for _, c := range []struct {
 		engines int
-		near    bool
+		local   bool
 	}{{60, true}, {9, false}} {
 		p := pickerInDataCentre("dc1", c.engines)
 		remote := 0
@@ -40,7 +40,7 @@
 			}
 		}
 		t.Logf("%d engines: %d of 300 went to other data centres", c.engines, remote)
-		assert.Equal(t, remote < 60, c.near, "%d engines", c.engines)
+		assert.Equal(t, remote < 60, c.local, "%d engines", c.engines)
 	}
 }
 
--- a/internal/core/pick/pick.go
+++ b/internal/core/pick/pick.go
@@ -202,8 +202,8 @@
 // speed holds the estimates of the speed of a service's servers.
 type speed struct {
 	firstToken     firstTokenFit // of engines
-	processingMs   float64
-	medianSlowness float64 // of its servers
+	processingMs   float64       // of a request at a plain service
+	medianSlowness float64       // of its servers
 	// lifetime is how long its engines keep prompt parts in their caches.
 	lifetime     time.Duration
 	filledTokens float64   // tokens sent by this router since fillUpdated
@@ -273,12 +273,12 @@
 
 // speedOf returns the speed estimates of the service, with initial values for a new one.
 func (p *Picker) speedOf(service string) *speed {
-	spd := p.speeds[service]
-	if spd == nil {
-		spd = &speed{firstToken: newFirstTokenFit(), processingMs: initialPlainMs, medianSlowness: 1, lifetime: maxLifetime}
-		p.speeds[service] = spd
+	estimates := p.speeds[service]
+	if estimates == nil {
+		estimates = &speed{firstToken: newFirstTokenFit(), processingMs: initialPlainMs, medianSlowness: 1, lifetime: maxLifetime}
+		p.speeds[service] = estimates
 	}
-	return spd
+	return estimates
 }
 
 // Tick updates the estimates and removes expired state. It must be called regularly.
@@ -288,9 +288,9 @@
 		if len(list) == 0 || name != list[0].Service {
 			continue
 		}
-		spd := p.speedOf(name)
-		spd.medianSlowness = p.median(list)
-		p.updateLifetime(spd, list, now)
+		estimates := p.speedOf(name)
+		estimates.medianSlowness = p.median(list)
+		p.updateLifetime(estimates, list, now)
 	}
 	for s := range p.cold {
 		if !s.cold.IsCold(now) {
@@ -332,8 +332,8 @@
 	return 0
 }
 
-// Accepts reports whether the server is listed as accepting new requests and has not
-// announced that it is leaving.
+// Accepts reports whether the server is listed as accepting new requests and has not announced
+// that it is leaving.
 func (p *Picker) Accepts(id routing.Identity) bool { return p.Known(id) && p.servers[id.ID].accepts }
 
 // Known reports whether the server is known and has not restarted since.
--- a/internal/core/pick/speed.go
+++ b/internal/core/pick/speed.go
@@ -118,14 +118,14 @@
 // the other routers. In a fleet of 295 routers each sees six a second, so that a router that
 // starts would need 15 s to learn the speed of its engines alone.
 func (p *Picker) TakeFirstTokens() map[string]FirstTokenSums {
-	firsts := p.pendingFirstTokens
+	firstTokens := p.pendingFirstTokens
 	p.pendingFirstTokens = map[string]FirstTokenSums{}
-	return firsts
+	return firstTokens
 }
 
 // MergeFirstTokens adds the first tokens that other routers observed.
-func (p *Picker) MergeFirstTokens(firsts map[string]FirstTokenSums, now time.Time) {
-	for service, f := range firsts {
+func (p *Picker) MergeFirstTokens(firstTokens map[string]FirstTokenSums, now time.Time) {
+	for service, f := range firstTokens {
 		if f.N > 0 && len(p.services[service]) > 0 {
 			p.speedOf(service).firstToken.merge(f, now)
 		}
