--- a/internal/core/msg/msg.go
+++ b/internal/core/msg/msg.go
@@ -1,5 +1,6 @@
-// Package msg holds the identifiers that the decision core and the shell
-// share. The messages between routers are in the packages that exchange them.
+// Package msg defines the identifiers that the decision core and the shell
+// share. Messages between routers are defined in the packages that exchange
+// them.
 package msg
 
 // RouterID is a router's host ID in the host list.
@@ -8,24 +9,24 @@
 // ServerID is a backend server's host ID in the host list.
 type ServerID string
 
-// PoolID names what is shared: a model ("m/NAME") or a plain service
-// ("s/NAME").
+// PoolID identifies a group of interchangeable slots that customers share:
+// those of a model ("m/NAME") or of a plain service ("s/NAME").
 type PoolID string
 
 // CustomerID is a customer's path in the settings tree.
 type CustomerID string
 
-// RequestID names one request at its entry router, unique over router
-// incarnations.
+// RequestID identifies a request at its entry router. It is unique across
+// restarts of the router.
 type RequestID string
 
-// GrantID names one grant of a slot: the admitting router's incarnation and a
-// sequence number.
+// GrantID identifies a grant of a slot by the admitting router's incarnation
+// and a sequence number.
 type GrantID struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Seq         uint64 `cbor:"2,keyasint"`
 }
 
-// Cost is an amount of service: weighted tokens at models, microseconds of
-// busy time at plain services.
+// Cost is an amount of service: weighted tokens for models, microseconds of
+// busy time for plain services.
 type Cost int64
--- a/internal/core/msg/pool.go
+++ b/internal/core/msg/pool.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// The beginnings of pools' names.
+// Prefixes of pool IDs.
 const (
-	modelPool   = "m/"
-	servicePool = "s/"
+	modelPrefix   = "m/"
+	servicePrefix = "s/"
 )
 
-// ModelPool returns the pool of a model.
-func ModelPool(model string) PoolID { return PoolID(modelPool + model) }
+// ModelPool returns the ID of a model's pool.
+func ModelPool(model string) PoolID { return PoolID(modelPrefix + model) }
 
-// ServicePool returns the pool of a plain service.
-func ServicePool(name string) PoolID { return PoolID(servicePool + name) }
+// ServicePool returns the ID of a plain service's pool.
+func ServicePool(name string) PoolID { return PoolID(servicePrefix + name) }
 
-// IsService says whether the pool is a plain service's.
-func (p PoolID) IsService() bool { return strings.HasPrefix(string(p), servicePool) }
+// IsService reports whether the pool belongs to a plain service.
+func (p PoolID) IsService() bool { return strings.HasPrefix(string(p), servicePrefix) }
--- a/internal/core/share/account.go
+++ b/internal/core/share/account.go
@@ -10,73 +10,76 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// hashBits is how much of a customer's hash the counters carry. Two customers
-// of a pool whose hashes are equal would be counted as one.
+// hashBits is the number of bits of a customer's hash in the counters. Two
+// customers of a pool whose hashes collide are counted as one.
 const hashBits = 40
 
-// rankStep spreads consecutive ranks evenly over 0 to 1 (the golden ratio).
+// rankStep spaces consecutive ranks evenly in [0, 1) (the fractional part of
+// the golden ratio).
 const rankStep = 0.6180339887498949
 
 func customerHash(id msg.CustomerID) uint64 {
 	return xxhash.Sum64String(string(id)) >> (64 - hashBits)
 }
 
-// account is a customer in a pool at an admitter: what waits, and what has
-// been served. Service is cost over weight.
+// account is an admitter's record of a customer in a pool: the waiting requests
+// and the service received. Service is cost divided by weight.
 type account struct {
-	id      msg.CustomerID
-	hash    uint64
-	pool    *admitPool
-	weight  float64
-	mean    mean
-	regs    []*registration
-	turn    int // the registration whose turn it is
-	waiting int
-	usedAt  time.Duration
-
-	own      float64 // served by this admitter while backlogged
-	included float64 // of own, what total includes
-	total    float64 // served by the fleet, at the last merge
-	slots    int     // of the admitters where the customer waits
-	rank     float64 // place among the pool's backlogged customers, 0 to 1
-	active   bool    // backlogged at the last merge
-	waited   bool    // has waited here since the last Up
-	key      float64
-	index    int // in the pool's heap; -1: not in it
-}
-
-// registration is what one entry has told of one of its queues.
-type registration struct {
+	id           msg.CustomerID
+	hash         uint64
+	pool         *admitPool
+	weight       float64
+	mean         runningMean
+	regs         []*registeredQueue
+	nextRegIndex int // index of the registration that is next in the rotation
+	waiting      int
+	usedAt       time.Duration
+
+	localServed      float64 // served by this admitter while the customer was backlogged
+	localMerged      float64 // the part of localServed that mergedTotal includes
+	mergedTotal      float64 // served by the fleet, as of the last merge
+	slots            int     // of all admitters where the customer waits
+	rank             float64 // position among the pool's backlogged customers, times rankStep
+	active           bool    // backlogged as of the last merge
+	waitedSinceMerge bool    // has waited here since the last merge
+	key              float64
+	index            int // in the pool's heap; -1: not in the heap
+}
+
+// registeredQueue is a queue that an entry has registered here.
+type registeredQueue struct {
 	entry   msg.RouterID
 	queue   uint64
 	account *account
-	seq     uint64 // of the message that told it
+	seq     uint64 // of the message with the last registration
 	count   int
 	slots   int
-	at      time.Duration // last told
+	at      time.Duration // of the last registration
 	avoid   []msg.ServerID
-	pending []uint64 // grants that the entry had not seen when it last told
+	unseen  []uint64 // grants that the entry had not received when it sent the last registration
 }
 
-// admitPool is a pool at an admitter.
+// admitPool is an admitter's state of a pool.
 type admitPool struct {
-	id       msg.PoolID
-	plain    bool // a plain service: its calls are short, so slots are granted ahead
-	accounts map[msg.CustomerID]*account
-	byHash   map[uint64]*account
-	heap     accountHeap // accounts with waiting requests, least served first
-	fresh    []*account  // put into the heap since the last grants
-	mean     mean
-	slots    int           // this admitter's
-	floor    float64       // the fleet's floor at the last merge
-	sorted   []*poolServer // the servers that hold it
-	told     Have          // to the directory
-	toldAt   time.Duration
-	position float64 // place among the pool's admitters, 0 to 1
-}
-
-// share is the part of the customer's service that this admitter answers for.
-func (a *account) share() float64 {
+	id             msg.PoolID
+	plainService   bool // the pool is a plain service: its calls are short, so slots are granted ahead of time
+	accounts       map[msg.CustomerID]*account
+	byHash         map[uint64]*account
+	heap           accountHeap // accounts with waiting requests, least served first
+	newlyQueued    []*account  // added to the heap since the last run of grantAll
+	mean           runningMean
+	slots          int           // that this router admits to
+	floor          float64       // least total of the fleet's backlogged customers, as of the last merge
+	servers        []*poolServer // owned servers that hold the pool
+	lastCapacity   Capacity      // last sent to the directory
+	capacitySentAt time.Duration
+	position       float64 // of this admitter among the pool's admitters, weighted by slots; 0 to 1
+}
+
+// localShare returns the part of the customer's service that this admitter
+// accounts for: its slots divided by the slots of all admitters where the
+// customer waits.
+func (a *account) localShare() float64 {
 	all := a.slots
 	for _, r := range a.regs {
 		if r.count > 0 {
@@ -89,29 +92,29 @@
 	return float64(a.pool.slots) / float64(all)
 }
 
-// level is the customer's estimated service by the whole fleet: the total at
-// the last merge, and what this admitter has given since on behalf of all, as
-// the others where the customer waits do likewise.
-func (a *account) level() float64 {
-	return a.total + (a.own-a.included)/a.share()
+// fleetServed estimates the customer's service by the whole fleet: the total of
+// the last merge plus the local service since then, extrapolated to the other
+// admitters where the customer waits, which presumably grant at the same rate.
+func (a *account) fleetServed() float64 {
+	return a.mergedTotal + (a.localServed-a.localMerged)/a.localShare()
 }
 
-// order is what the pool's accounts are ordered by: the level with a part of a
-// request added, spread evenly over the customers at an admitter, and over the
-// admitters for a customer. Without it, admitters that each grant a customer
-// less than one request between merges would all choose the same few
-// customers.
-func (a *account) order() float64 {
+// sortKey returns the key that orders the pool's accounts: fleetServed plus a
+// fraction of a request's cost, which is spread evenly over the customers at an
+// admitter and over the admitters for a customer. Without this offset,
+// admitters that each grant a customer less than one request between merges
+// would all choose the same few customers.
+func (a *account) sortKey() float64 {
 	if !a.active {
-		return a.level()
+		return a.fleetServed()
 	}
 	_, phase := math.Modf(a.pool.position + a.rank)
-	part := (phase - 0.5) * float64(estimate(a.mean, a.pool.mean)) / a.weight
-	return a.level() + part/a.share()
+	part := (phase - 0.5) * float64(estimateCost(a.mean, a.pool.mean)) / a.weight
+	return a.fleetServed() + part/a.localShare()
 }
 
-// place takes the admitter's place in the directory's list.
-func (p *admitPool) place(self msg.RouterID, list Admitters) {
+// updatePosition sets the admitter's position from the directory's list.
+func (p *admitPool) updatePosition(self msg.RouterID, list AdmitterList) {
 	all, before := 0, 0
 	for i, id := range list.Routers {
 		if id == self {
@@ -124,47 +127,50 @@
 	}
 }
 
-// charge adds service and puts the account in its new place. What a customer
-// gets while it is backlogged nowhere is free: it takes from nobody.
+// charge adds a cost to the account's service and updates its place in the
+// heap. Service to a customer that is not backlogged anywhere is not counted,
+// as it takes slots from nobody.
 func (a *account) charge(cost msg.Cost) {
-	if !a.active && !a.waited {
+	if !a.active && !a.waitedSinceMerge {
 		return
 	}
-	a.own += float64(cost) / a.weight
-	a.rekey()
+	a.localServed += float64(cost) / a.weight
+	a.updateKey()
 }
 
-func (a *account) rekey() {
-	a.key = a.order()
+func (a *account) updateKey() {
+	a.key = a.sortKey()
 	if a.index >= 0 {
 		heap.Fix(&a.pool.heap, a.index)
 	}
 }
 
-// setWaiting puts the account into the heap or takes it out.
+// setWaiting sets the number of waiting requests, and adds the account to the
+// heap or removes it accordingly.
 func (a *account) setWaiting(n int) {
 	a.waiting = n
 	switch {
 	case n > 0 && a.index < 0:
-		a.lift()
-		a.key = a.order()
+		a.resetToCurrentLevel()
+		a.key = a.sortKey()
 		heap.Push(&a.pool.heap, a)
-		a.pool.fresh = append(a.pool.fresh, a)
+		a.pool.newlyQueued = append(a.pool.newlyQueued, a)
 	case n == 0 && a.index >= 0:
 		heap.Remove(&a.pool.heap, a.index)
 	}
 }
 
-// lift puts a customer that comes back from idle level with the one that is
-// next: it has no credit for the past, and no debt.
-func (a *account) lift() {
-	if a.active || a.waited {
+// resetToCurrentLevel sets the service of a customer that returns from idle to
+// that of the customer next in line, or to the floor if none waits, so that it
+// has neither credit nor debt from the past.
+func (a *account) resetToCurrentLevel() {
+	if a.active || a.waitedSinceMerge {
 		return
 	}
-	a.included = a.own
-	a.total = a.pool.floor
+	a.localMerged = a.localServed
+	a.mergedTotal = a.pool.floor
 	if len(a.pool.heap) > 0 {
-		a.total = a.pool.heap[0].key
+		a.mergedTotal = a.pool.heap[0].key
 	}
 }
 
@@ -178,7 +184,7 @@
 	return a
 }
 
-// accountHeap orders accounts by their keys.
+// accountHeap is a min-heap of accounts by key.
 type accountHeap []*account
 
 func (h accountHeap) Len() int { return len(h) }
--- a/internal/core/share/admit.go
+++ b/internal/core/share/admit.go
@@ -8,57 +8,60 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// graceScan is between two looks for grants that are not kept alive.
-const graceScan = 250 * time.Millisecond
+// grantScanInterval is the time between two scans for grants without
+// keep-alives.
+const grantScanInterval = 250 * time.Millisecond
 
-// foreignProbes is how much more often a server is asked while something runs
-// there of which this router will hear no end.
-const foreignProbes = 5
+// untrackedProbeFactor is how much more often a server is probed while it runs
+// requests whose end this router will not be told of.
+const untrackedProbeFactor = 5
 
-// longPause is a time between two ticks that means the process was paused.
-const longPause = time.Second
+// pauseThreshold is the time between two ticks from which on the process is
+// assumed to have been paused.
+const pauseThreshold = time.Second
 
-// regIdle is how long a registration is kept that the entry does not repeat.
-const regIdle = 4 * waitRefresh
+// registrationExpiry is how long a registration is kept that the entry does not
+// repeat.
+const registrationExpiry = 4 * registrationRefresh
 
-// admitter hands out the slots of the servers that are this router's.
+// admitter allocates the slots of the servers that this router owns.
 type admitter struct {
-	n       *Node
-	pools   map[msg.PoolID]*admitPool
-	order   []*admitPool // by ID
-	servers map[msg.ServerID]*poolServer
-	mine    []*poolServer // owned, by ID
-	grants  map[uint64]*grantRecord
-	entries map[msg.RouterID]*entryPeer
-	lastSeq uint64
-	dirty   bool
-	scanAt  time.Duration
-	sweepAt time.Duration
-	stats   Stats
-	tickAt  time.Duration  // the last tick
-	unsure  []*grantRecord // sent and not known to be confirmed
+	n            *Node
+	pools        map[msg.PoolID]*admitPool
+	poolsByID    []*admitPool // sorted by ID
+	servers      map[msg.ServerID]*poolServer
+	ownedServers []*poolServer // sorted by ID
+	grants       map[uint64]*grantRecord
+	entries      map[msg.RouterID]*entryPeer
+	lastSeq      uint64
+	dirty        bool
+	scanAt       time.Duration
+	sweepAt      time.Duration
+	stats        Stats
+	tickAt       time.Duration  // time of the last tick
+	unconfirmed  []*grantRecord // sent and not known to be confirmed
 }
 
 // grantRecord is a grant that has not ended.
 type grantRecord struct {
-	seq     uint64
-	server  *poolServer
-	account *account
-	reg     *registration
-	entry   msg.RouterID
-	charged msg.Cost
-	guess   msg.Cost // estimated at the grant
-	at      time.Duration
-	sent    bool          // to another router, and not confirmed yet
-	resend  time.Duration // when to send it again if it is not confirmed
-	wait    time.Duration // from one resending to the next
-	alive   time.Duration // last known to be wanted
+	seq         uint64
+	server      *poolServer
+	account     *account
+	reg         *registeredQueue
+	entry       msg.RouterID
+	charged     msg.Cost
+	estimated   msg.Cost // cost estimated at the grant
+	at          time.Duration
+	unconfirmed bool          // sent to another router and not confirmed yet
+	resendAt    time.Duration // when to send it again unless confirmed
+	resendDelay time.Duration // doubles with each resend
+	keptAliveAt time.Duration // time of the last keep-alive
 }
 
-// entryPeer is an entry router as this admitter knows it.
+// entryPeer is an admitter's state of an entry router.
 type entryPeer struct {
 	incarnation uint64
-	regs        map[uint64]*registration
+	regs        map[uint64]*registeredQueue
 	grants      map[uint64]*grantRecord
 }
 
@@ -76,23 +79,23 @@
 	p, ok := a.pools[id]
 	if !ok {
 		p = &admitPool{
-			id: id, plain: id.IsService(),
+			id: id, plainService: id.IsService(),
 			accounts: map[msg.CustomerID]*account{}, byHash: map[uint64]*account{},
 		}
 		a.pools[id] = p
-		a.order = append(a.order, p)
-		sort.Slice(a.order, func(i, j int) bool { return a.order[i].id < a.order[j].id })
+		a.poolsByID = append(a.poolsByID, p)
+		sort.Slice(a.poolsByID, func(i, j int) bool { return a.poolsByID[i].id < a.poolsByID[j].id })
 	}
 	return p
 }
 
-// assign works out anew which servers are this router's.
+// assign determines which servers this router owns.
 func (a *admitter) assign() {
 	for _, s := range a.servers {
 		s.owned = false
 	}
 	for _, id := range a.n.servers {
-		if a.n.members.owner(ownServer, string(id)) != a.n.cfg.ID {
+		if a.n.members.owner(ownerOfServer, string(id)) != a.n.cfg.ID {
 			continue
 		}
 		s, ok := a.servers[id]
@@ -102,32 +105,32 @@
 		}
 		s.owned = true
 	}
-	a.mine = a.mine[:0]
+	a.ownedServers = a.ownedServers[:0]
 	for id, s := range a.servers {
 		switch {
 		case s.owned:
-			a.mine = append(a.mine, s)
-		case s.held == 0:
+			a.ownedServers = append(a.ownedServers, s)
+		case s.outstanding == 0:
 			delete(a.servers, id)
 		default:
-			s.reported = false // asked anew, should it come back
+			s.reported = false // needs a new report if the server comes back to this router
 		}
 	}
-	sort.Slice(a.mine, func(i, j int) bool { return a.mine[i].id < a.mine[j].id })
-	a.regroup()
+	sort.Slice(a.ownedServers, func(i, j int) bool { return a.ownedServers[i].id < a.ownedServers[j].id })
+	a.groupPools()
 	a.probe()
 }
 
-// regroup works out which servers hold which pools.
-func (a *admitter) regroup() {
-	for _, p := range a.order {
-		p.sorted = p.sorted[:0]
+// groupPools determines which owned servers hold which pools.
+func (a *admitter) groupPools() {
+	for _, p := range a.poolsByID {
+		p.servers = p.servers[:0]
 		p.slots = 0
 	}
-	for _, s := range a.mine {
+	for _, s := range a.ownedServers {
 		for _, id := range s.pools {
 			p := a.pool(id)
-			p.sorted = append(p.sorted, s)
+			p.servers = append(p.servers, s)
 			if !s.leaving {
 				p.slots += s.limit.slots
 			}
@@ -146,26 +149,26 @@
 			a.restarted(e, a.n.members.list[i].Incarnation)
 		}
 	}
-	for _, p := range a.order {
-		p.told = Have{Pool: p.id}
+	for _, p := range a.poolsByID {
+		p.lastCapacity = Capacity{Pool: p.id}
 	}
 	a.assign()
 }
 
-// load takes a server's load report.
-func (a *admitter) load(r LoadReport) {
+// handleLoadReport applies a server's load report.
+func (a *admitter) handleLoadReport(r LoadReport) {
 	s := a.servers[r.Server]
 	if s == nil || !s.owned {
 		return
 	}
 	slots, leaving := s.limit.slots, s.leaving
-	s.report(a.n.now, r)
+	s.applyReport(a.n.now, r)
 	a.dirty = true
 	if slots == r.Slots && leaving == r.Leaving && samePools(s.pools, r.Pools) {
 		return
 	}
 	s.pools = append([]msg.PoolID(nil), r.Pools...)
-	a.regroup()
+	a.groupPools()
 }
 
 func samePools(a, b []msg.PoolID) bool {
@@ -180,12 +183,13 @@
 	return true
 }
 
-// entrySeen notes an entry's incarnation. A new one holds nothing of what the
-// earlier held. It is false for a late message of an earlier incarnation.
-func (a *admitter) entrySeen(from msg.RouterID, m *Message) bool {
+// noteEntry records the entry's incarnation; a new one holds none of the
+// earlier one's grants. It returns false for a late message of an earlier
+// incarnation.
+func (a *admitter) noteEntry(from msg.RouterID, m *Message) bool {
 	e := a.entries[from]
 	if e == nil {
-		e = &entryPeer{regs: map[uint64]*registration{}, grants: map[uint64]*grantRecord{}}
+		e = &entryPeer{regs: map[uint64]*registeredQueue{}, grants: map[uint64]*grantRecord{}}
 		a.entries[from] = e
 	}
 	if e.incarnation < m.Incarnation {
@@ -198,7 +202,7 @@
 	e.incarnation = incarnation
 	a.dropRegs(e)
 	for _, g := range sortedGrants(e.grants) {
-		a.release(g)
+		a.endGrant(g)
 	}
 }
 
@@ -209,7 +213,7 @@
 	}
 }
 
-func (c *account) dropReg(r *registration) {
+func (c *account) dropReg(r *registeredQueue) {
 	for i, x := range c.regs {
 		if x == r {
 			c.regs = append(c.regs[:i], c.regs[i+1:]...)
@@ -219,126 +223,127 @@
 	c.setWaiting(c.waiting - r.count)
 }
 
-// wait takes a registration.
-func (a *admitter) wait(from msg.RouterID, m *Message, w Wait) {
-	r := a.registration(from, w)
+// handleRegistration applies a registration.
+func (a *admitter) handleRegistration(from msg.RouterID, m *Message, reg Registration) {
+	r := a.findRegistration(from, reg)
 	if r == nil || m.Seq < r.seq {
 		return
 	}
 	c := r.account
-	r.seq, r.slots, r.at = m.Seq, w.Slots, a.n.now
+	r.seq, r.slots, r.at = m.Seq, reg.AdmitterSlots, a.n.now
 	c.usedAt = a.n.now
-	if w.Weight > 0 {
-		c.weight = w.Weight
+	if reg.Weight > 0 {
+		c.weight = reg.Weight
 	}
-	if m.Of == a.n.cfg.Incarnation {
-		r.forgetSeen(m.Seen)
+	if m.ReceiverIncarnation == a.n.cfg.Incarnation {
+		r.dropSeen(m.HighestGrantSeen)
 	}
 	was := r.count
-	r.count = max(0, w.Count-len(r.pending))
+	r.count = max(0, reg.Count-len(r.unseen))
 	c.setWaiting(c.waiting + r.count - was)
 	a.dirty = true
 }
 
-// registration finds or makes the registration that the entry means. It is
-// nil if the entry must say more.
-func (a *admitter) registration(from msg.RouterID, w Wait) *registration {
+// findRegistration returns the queue that the registration refers to, and
+// creates it if needed. It returns nil if the queue is unknown and the
+// registration does not name its pool; the entry is then asked for a full one.
+func (a *admitter) findRegistration(from msg.RouterID, reg Registration) *registeredQueue {
 	e := a.entries[from]
-	if r := e.regs[w.Queue]; r != nil {
+	if r := e.regs[reg.QueueID]; r != nil {
 		return r
 	}
-	if w.Pool == "" {
-		m := a.n.to(from)
-		m.Forgot = append(m.Forgot, w.Queue)
+	if reg.Pool == "" {
+		m := a.n.messageTo(from)
+		m.UnknownQueues = append(m.UnknownQueues, reg.QueueID)
 		return nil
 	}
-	c := a.pool(w.Pool).account(w.Customer)
-	r := &registration{entry: from, queue: w.Queue, account: c, avoid: w.Avoid}
-	e.regs[w.Queue] = r
+	c := a.pool(reg.Pool).account(reg.Customer)
+	r := &registeredQueue{entry: from, queue: reg.QueueID, account: c, avoid: reg.Avoid}
+	e.regs[reg.QueueID] = r
 	c.regs = append(c.regs, r)
 	return r
 }
 
-// forget takes a grant that has ended out of the pending ones.
-func (r *registration) forget(seq uint64) {
-	if i, ok := slices.BinarySearch(r.pending, seq); ok {
-		r.pending = slices.Delete(r.pending, i, i+1)
+// grantEnded removes an ended grant from the unseen ones.
+func (r *registeredQueue) grantEnded(seq uint64) {
+	if i, ok := slices.BinarySearch(r.unseen, seq); ok {
+		r.unseen = slices.Delete(r.unseen, i, i+1)
 	}
 }
 
-func (r *registration) forgetSeen(seen uint64) {
+func (r *registeredQueue) dropSeen(seen uint64) {
 	i := 0
-	for i < len(r.pending) && r.pending[i] <= seen {
+	for i < len(r.unseen) && r.unseen[i] <= seen {
 		i++
 	}
-	r.pending = r.pending[i:]
+	r.unseen = r.unseen[i:]
 }
 
-// end takes a slot back and corrects the charge.
-func (a *admitter) end(from msg.RouterID, end End) {
-	g := a.grants[end.Seq]
+// handleRelease takes back a slot and corrects the charge to the actual cost.
+func (a *admitter) handleRelease(from msg.RouterID, release Release) {
+	g := a.grants[release.Seq]
 	if g == nil || g.entry != from {
 		return
 	}
 	res := Result{
-		Cost:  end.Cost,
-		First: time.Duration(end.First) * time.Millisecond,
-		Total: time.Duration(end.Total) * time.Millisecond,
-		Busy:  end.Flags&endBusy != 0, Leaving: end.Flags&endLeaving != 0,
+		Cost:  release.Cost,
+		First: time.Duration(release.FirstTokenMs) * time.Millisecond,
+		Total: time.Duration(release.TotalMs) * time.Millisecond,
+		Busy:  release.Flags&releaseOverloaded != 0, Leaving: release.Flags&releaseLeaving != 0,
 	}
 	a.stats.Returned++
 	g.account.charge(res.Cost - g.charged)
-	a.release(g)
-	if end.Flags&endReturned != 0 {
+	a.endGrant(g)
+	if release.Flags&releaseUnused != 0 {
 		return
 	}
-	g.server.limit.ended(a.n.now, g.at, res)
+	g.server.limit.applyResult(a.n.now, g.at, res)
 	if res.Leaving {
 		g.server.leaving = true
-		a.regroup()
+		a.groupPools()
 	}
-	if g.account.pool.plain && res.Total > 0 {
-		g.server.called(a.n.now-g.at, res.Total)
+	if g.account.pool.plainService && res.Total > 0 {
+		g.server.recordCall(a.n.now-g.at, res.Total)
 	}
 	if !res.Busy && !res.Leaving {
-		a.stats.ended(g.guess, res.Cost)
+		a.stats.recordEnd(g.estimated, res.Cost)
 		g.account.mean.add(float64(res.Cost))
 		g.account.pool.mean.add(float64(res.Cost))
 	}
 }
 
-// release ends a grant; the charge stays.
-func (a *admitter) release(g *grantRecord) {
+// endGrant ends a grant without changing the charge.
+func (a *admitter) endGrant(g *grantRecord) {
 	delete(a.grants, g.seq)
 	delete(a.entries[g.entry].grants, g.seq)
-	g.reg.forget(g.seq)
-	g.server.hold(a.n.now, -1)
+	g.reg.grantEnded(g.seq)
+	g.server.addOutstanding(a.n.now, -1)
 	a.dirty = true
 }
 
-// held takes an entry's keep-alive: grants that it has seen and does not hold
-// are over.
-func (a *admitter) held(from msg.RouterID, m *Message) {
+// handleKeepAlive applies an entry's keep-alive: grants that the entry has seen
+// and does not hold have ended.
+func (a *admitter) handleKeepAlive(from msg.RouterID, m *Message) {
 	e := a.entries[from]
-	still := make(map[uint64]msg.Cost, len(m.Held.Seqs))
-	for i, seq := range m.Held.Seqs {
+	costs := make(map[uint64]msg.Cost, len(m.KeepAlive.Seqs))
+	for i, seq := range m.KeepAlive.Seqs {
 		cost := msg.Cost(0)
-		if i < len(m.Held.Costs) {
-			cost = m.Held.Costs[i]
+		if i < len(m.KeepAlive.Costs) {
+			cost = m.KeepAlive.Costs[i]
 		}
-		still[seq] = cost
+		costs[seq] = cost
 	}
 	for _, g := range sortedGrants(e.grants) {
-		cost, ok := still[g.seq]
+		cost, ok := costs[g.seq]
 		switch {
 		case ok:
-			g.alive, g.sent = a.n.now, false
+			g.keptAliveAt, g.unconfirmed = a.n.now, false
 			if cost > g.charged {
 				g.account.charge(cost - g.charged)
 				g.charged = cost
 			}
-		case g.seq <= m.Seen:
-			a.release(g)
+		case g.seq <= m.HighestGrantSeen:
+			a.endGrant(g)
 		}
 	}
 }
@@ -352,125 +357,125 @@
 	return list
 }
 
-// tick releases grants that are not kept alive, asks for load reports and
-// tells the directories what is idle.
+// tick ends grants without keep-alives, requests load reports, and tells the
+// directories about capacity.
 func (a *admitter) tick() {
-	a.forgivePause()
+	a.extendAfterPause()
 	a.resendGrants()
 	if a.n.now >= a.scanAt {
-		a.scanAt = a.n.now + graceScan
+		a.scanAt = a.n.now + grantScanInterval
 		for _, g := range sortedGrants(a.grants) {
-			if a.n.now-g.alive >= a.n.cfg.GrantTimeout {
+			if a.n.now-g.keptAliveAt >= a.n.cfg.GrantTimeout {
 				a.stats.Expired++
-				a.release(g)
+				a.endGrant(g)
 			}
 		}
 	}
 	if a.n.now >= a.sweepAt {
-		a.sweepAt = a.n.now + regIdle/4
+		a.sweepAt = a.n.now + registrationExpiry/4
 		a.sweep()
 	}
 	a.probe()
-	a.tellDirectories()
+	a.sendCapacities()
 }
 
-// forgivePause keeps the grants of which a paused process could not hear: its
-// own pause is not the entries' silence.
-func (a *admitter) forgivePause() {
+// extendAfterPause extends all grants by the time that this process was paused,
+// since it could not receive keep-alives then.
+func (a *admitter) extendAfterPause() {
 	pause := a.n.now - a.tickAt
 	a.tickAt = a.n.now
-	if pause < longPause {
+	if pause < pauseThreshold {
 		return
 	}
 	for _, g := range a.grants {
-		g.alive += pause
+		g.keptAliveAt += pause
 	}
 }
 
-// resendGrants sends again what has not been confirmed. The entry ignores what
-// it has got.
+// resendGrants resends unconfirmed grants. The entry ignores duplicates.
 func (a *admitter) resendGrants() {
-	list := a.unsure[:0]
-	for _, g := range a.unsure {
-		if !g.sent || a.grants[g.seq] != g {
+	list := a.unconfirmed[:0]
+	for _, g := range a.unconfirmed {
+		if !g.unconfirmed || a.grants[g.seq] != g {
 			continue
 		}
 		list = append(list, g)
-		if a.n.now >= g.resend {
+		if a.n.now >= g.resendAt {
 			a.stats.Resent++
-			g.wait *= 2
-			g.resend = a.n.now + g.wait
-			a.send(g)
+			g.resendDelay *= 2
+			g.resendAt = a.n.now + g.resendDelay
+			a.sendGrant(g)
 		}
 	}
-	clear(a.unsure[len(list):])
-	a.unsure = list
+	clear(a.unconfirmed[len(list):])
+	a.unconfirmed = list
 }
 
-// sweep forgets registrations that have long been empty or not repeated.
+// sweep deletes registrations that the entry has not repeated for long, and
+// idle accounts.
 func (a *admitter) sweep() {
 	for _, e := range a.entries {
 		for q, r := range e.regs {
-			if a.n.now-r.at > regIdle {
+			if a.n.now-r.at > registrationExpiry {
 				delete(e.regs, q)
 				r.account.dropReg(r)
 			}
 		}
 	}
-	for _, p := range a.order {
+	for _, p := range a.poolsByID {
 		a.n.tree.forgetIdleAccounts(p)
 	}
 }
 
-// probe asks for the load reports that are due.
+// probe requests the load reports that are due.
 func (a *admitter) probe() {
-	for _, s := range a.mine {
-		if a.n.now < s.probeAt {
+	for _, s := range a.ownedServers {
+		if a.n.now < s.nextProbeAt {
 			continue
 		}
-		s.probeAt = a.n.now + a.n.cfg.ProbeInterval
-		if s.foreign > 0 {
-			s.probeAt = a.n.now + a.n.cfg.ProbeInterval/foreignProbes
+		s.nextProbeAt = a.n.now + a.n.cfg.ProbeInterval
+		if s.untracked > 0 {
+			s.nextProbeAt = a.n.now + a.n.cfg.ProbeInterval/untrackedProbeFactor
 		}
 		a.n.ready.Probe = append(a.n.ready.Probe, s.id)
 	}
 }
 
-// tellDirectories tells each pool's directory of this router's slots: when
-// they change, when some become idle, and now and then.
-func (a *admitter) tellDirectories() {
-	for _, p := range a.order {
-		h := Have{Pool: p.id, Slots: p.slots, Version: a.n.entry.pool(p.id).version}
+// sendCapacities tells each pool's directory about this router's slots: when
+// their number changes, when some become idle, and periodically.
+func (a *admitter) sendCapacities() {
+	for _, p := range a.poolsByID {
+		c := Capacity{Pool: p.id, Slots: p.slots, ListVersion: a.n.entry.pool(p.id).version}
 		if len(p.heap) == 0 {
-			h.Idle = p.idle()
+			c.Idle = p.idle()
 		}
-		if !a.due(p, h) {
+		if !a.capacityDue(p, c) {
 			continue
 		}
-		p.told, p.toldAt = h, a.n.now
-		m := a.n.to(a.n.members.owner(ownPool, string(p.id)))
-		m.Haves = append(m.Haves, h)
+		p.lastCapacity, p.capacitySentAt = c, a.n.now
+		m := a.n.messageTo(a.n.members.owner(ownerOfPool, string(p.id)))
+		m.Capacities = append(m.Capacities, c)
 	}
 }
 
-func (a *admitter) due(p *admitPool, h Have) bool {
-	since := a.n.now - p.toldAt
+func (a *admitter) capacityDue(p *admitPool, c Capacity) bool {
+	since := a.n.now - p.capacitySentAt
 	switch {
-	case h.Slots != p.told.Slots:
+	case c.Slots != p.lastCapacity.Slots:
 		return true
-	case h.Slots == 0:
+	case c.Slots == 0:
 		return false
-	case h.Idle > 0 && p.told.Idle == 0:
-		return since >= idleInterval
+	case c.Idle > 0 && p.lastCapacity.Idle == 0:
+		return since >= idleNoticeInterval
 	}
-	return since >= haveInterval
+	return since >= capacityInterval
 }
 
-// idle is how many slots are free for the pool.
+// idle returns how many slots are free for the pool.
 func (p *admitPool) idle() int {
 	n := 0
-	for _, s := range p.sorted {
-		n += max(0, s.free())
+	for _, s := range p.servers {
+		n += max(0, s.freeSlots())
 	}
 	return n
 }
--- a/internal/core/share/bench_test.go
+++ b/internal/core/share/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/windscale/windscale/internal/core/share"
 )
 
-// fleetOf builds a fleet for a workload, with the pools divided evenly over
+// fleetOf returns a fleet for a workload, with the pools divided evenly among
 // the servers.
 func fleetOf(w workload, config share.Config) *fleet {
 	f := newFleet(1, w.routers, config)
@@ -29,12 +29,12 @@
 func workloadOf(routers, servers int) workload {
 	return workload{
 		routers: routers, servers: servers, slots: 8, pools: 4, customers: 1000, backlogged: 100,
-		rate: 200, trickle: 0.05, weights: []float64{1, 1, 1, 2},
+		rate: 200, lightLoad: 0.05, weights: []float64{1, 1, 1, 2},
 	}
 }
 
-// BenchmarkSharing plays a workload of 100 backlogged customers among 1,000 on
-// simulated fleets, and compares with the references.
+// BenchmarkSharing runs a workload of 100 backlogged customers out of 1,000 on
+// simulated fleets, and compares the result with the reference schedulers.
 func BenchmarkSharing(b *testing.B) {
 	for _, size := range []struct {
 		routers, servers int
@@ -49,10 +49,10 @@
 }
 
 func measure(b *testing.B, w workload, length time.Duration) {
-	ideal := w.play(newCells(w, false), 0, length)
-	naive := w.play(newCells(w, true), 0, length)
+	ideal := w.play(newReferenceScheduler(w, false), 0, length)
+	naive := w.play(newReferenceScheduler(w, true), 0, length)
 	f := fleetOf(w, share.Config{})
-	f.size = true
+	f.countBytes = true
 	bytes, messages := 0, 0
 	f.after(warmUp, func() { bytes, messages = f.bytes, f.messages })
 	began := time.Now()
@@ -70,12 +70,12 @@
 	b.ReportMetric(got.longest.Seconds(), "smallestWait-s")
 	b.ReportMetric(ideal.longest.Seconds(), "smallestWaitIdeal-s")
 	b.ReportMetric(float64(spent.Microseconds())/float64(got.finished), "us/req")
-	b.ReportMetric(float64(f.over), "overSlots")
+	b.ReportMetric(float64(f.overSlots), "overSlots")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkGrant measures one decision: a slot comes free and is granted to
-// the least served of the customers that wait.
+// BenchmarkGrant measures one decision: a slot is released and granted to the
+// least served of the waiting customers.
 func BenchmarkGrant(b *testing.B) {
 	for _, customers := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint("customers=", customers), func(b *testing.B) { benchGrant(b, customers) })
@@ -91,29 +91,30 @@
 	}
 	n.SetServers(0, servers)
 	server := n.Ready().Probe[0]
-	n.Load(0, share.LoadReport{Server: server, Pools: []msg.PoolID{pool}, Slots: 1})
-	var waits []share.Wait
+	n.HandleLoadReport(0, share.LoadReport{Server: server, Pools: []msg.PoolID{pool}, Slots: 1})
+	var waits []share.Registration
 	for i := range customers {
-		waits = append(waits, share.Wait{
-			Queue: uint64(i + 1), Pool: pool, Customer: msg.CustomerID(fmt.Sprint("c", i)), Weight: 1, Count: 1 << 40,
+		waits = append(waits, share.Registration{
+			QueueID: uint64(i + 1), Pool: pool, Customer: msg.CustomerID(fmt.Sprint("c", i)), Weight: 1, Count: 1 << 40,
 		})
 	}
-	n.Step(0, "e0", &share.Message{Incarnation: 1, Seq: 1, Waits: waits})
+	n.HandleMessage(0, "e0", &share.Message{Incarnation: 1, Seq: 1, Registrations: waits})
 	n.Ready()
-	end := &share.Message{Incarnation: 1, Of: 1, Ends: make([]share.End, 1)}
+	end := &share.Message{Incarnation: 1, ReceiverIncarnation: 1, Releases: make([]share.Release, 1)}
 	seq := uint64(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		seq++
 		end.Seq = seq + 1
-		end.Ends[0] = share.End{Seq: seq, Cost: msg.Cost(100 + seq%97)}
-		n.Step(time.Duration(seq), "e0", end)
+		end.Releases[0] = share.Release{Seq: seq, Cost: msg.Cost(100 + seq%97)}
+		n.HandleMessage(time.Duration(seq), "e0", end)
 		n.Ready()
 	}
 }
 
-// BenchmarkBreak plays what makes sharing harder on 40 routers.
-func BenchmarkBreak(b *testing.B) {
+// BenchmarkAdverseConditions measures fairness under conditions that make
+// sharing harder, on 40 routers.
+func BenchmarkAdverseConditions(b *testing.B) {
 	for _, c := range []struct {
 		name   string
 		merge  time.Duration
@@ -138,7 +139,7 @@
 					c.change(&w)
 				}
 				length := warmUp + 60*time.Second
-				ideal := w.play(newCells(w, false), 0, length)
+				ideal := w.play(newReferenceScheduler(w, false), 0, length)
 				f := fleetOf(w, share.Config{MergeInterval: c.merge})
 				f.loss = c.loss
 				if c.churn > 0 {
@@ -150,15 +151,15 @@
 				b.ReportMetric(got.gapMean/ideal.gapMean, "gapMean/ideal")
 				b.ReportMetric(got.util/ideal.util, "util/ideal")
 				b.ReportMetric(got.longest.Seconds(), "smallestWait-s")
-				b.ReportMetric(float64(f.over), "overSlots")
+				b.ReportMetric(float64(f.overSlots), "overSlots")
 				b.ReportMetric(0, "ns/op")
 			}
 		})
 	}
 }
 
-// churn starts one router after another again without memory. What waited
-// there comes again.
+// churn restarts one router after another without state. Requests that waited
+// there arrive again.
 func (f *fleet) churn(every time.Duration) {
 	id := f.ids[int(f.now/every)%len(f.ids)]
 	f.startNode(id)
@@ -169,11 +170,11 @@
 			f.arrive(r)
 		}
 	}
-	f.after(time.Second, func() { f.setMembers(f.ids) }) // the others hear of it
+	f.after(time.Second, func() { f.setMembers(f.ids) }) // the other routers learn of the restart
 	f.after(every, func() { f.churn(every) })
 }
 
-// BenchmarkShortCalls plays calls of 5 ms to plain services.
+// BenchmarkShortCalls measures calls of 5 ms to plain services.
 func BenchmarkShortCalls(b *testing.B) {
 	w := workload{
 		routers: 8, servers: 3, slots: 4, pools: 1, customers: 20, backlogged: 16,
@@ -183,7 +184,7 @@
 		f := fleetOf(w, share.Config{})
 		got := w.play(f, f.now, warmUp+10*time.Second)
 		b.ReportMetric(got.util, "util")
-		b.ReportMetric(float64(f.over), "overSlots")
+		b.ReportMetric(float64(f.overSlots), "overSlots")
 		b.ReportMetric(float64(f.messages)/float64(got.finished), "ctlMsg/req")
 	}
 }
--- a/internal/core/share/directory.go
+++ b/internal/core/share/directory.go
@@ -9,47 +9,47 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Times of the directory's soft state.
+// Intervals and lifetimes of the directory's soft state.
 const (
-	haveInterval = 3 * time.Second        // an admitter repeats its Have
-	idleInterval = 250 * time.Millisecond // at least between two idle notices
-	haveExpiry   = 4 * haveInterval
-	askInterval  = 3 * time.Second // a waiting entry repeats its Ask
-	askExpiry    = 4 * askInterval
-	settleTime   = haveExpiry // until then a new directory may not have heard of all admitters
+	capacityInterval   = 3 * time.Second        // an admitter repeats its Capacity
+	idleNoticeInterval = 250 * time.Millisecond // least time between two notices of idle slots
+	capacityExpiry     = 4 * capacityInterval
+	demandInterval     = 3 * time.Second // an entry with waiting requests repeats its Demand
+	demandExpiry       = 4 * demandInterval
+	directoryWarmUp    = capacityExpiry // before it has passed, a new directory may not have heard from all admitters
 )
 
-// directory is a router's soft list, for the pools that rendezvous hashing
-// gives it, of who admits to the pool and whose requests wait. It brings idle
-// admitters and waiting entries together.
+// directory keeps soft-state lists of the routers that admit to a pool and of
+// the entries with waiting requests, for the pools that rendezvous hashing
+// assigns to this router. It matches idle admitters with waiting entries.
 type directory struct {
-	n     *Node
-	pools map[msg.PoolID]*dirPool
-	next  time.Duration // of the next expiry
+	n            *Node
+	pools        map[msg.PoolID]*dirPool
+	nextExpiryAt time.Duration
 }
 
 type dirPool struct {
 	id        msg.PoolID
-	admitters []dirAdmitter // by router
+	admitters []dirAdmitter // sorted by router ID
 	entries   []dirEntry
-	turn      int // the entry whose turn it is to be offered slots
+	nextEntry int // index of the entry that is next in the rotation of offers
 	version   uint64
-	since     time.Duration // when this router began to keep it
+	since     time.Duration // when this router took over the directory
 }
 
 type dirAdmitter struct {
-	id    msg.RouterID
-	inc   uint64
-	slots int
-	idle  int // free slots not yet offered
-	at    time.Duration
+	id          msg.RouterID
+	incarnation uint64
+	slots       int
+	idle        int // free slots not yet offered
+	at          time.Duration
 }
 
 type dirEntry struct {
-	id    msg.RouterID
-	count int // requests waiting and not yet offered a slot
-	at    time.Duration
-	knows uint64 // version of the list last sent
+	id           msg.RouterID
+	count        int // waiting requests not yet offered a slot
+	at           time.Duration
+	knownVersion uint64 // of the list that the entry has
 }
 
 func newDirectory(n *Node) directory {
@@ -65,17 +65,17 @@
 	return p
 }
 
-// have takes an admitter's notice.
-func (d *directory) have(from msg.RouterID, incarnation uint64, h Have) {
-	p := d.pool(h.Pool)
+// handleCapacity applies an admitter's Capacity.
+func (d *directory) handleCapacity(from msg.RouterID, incarnation uint64, c Capacity) {
+	p := d.pool(c.Pool)
 	i := sort.Search(len(p.admitters), func(i int) bool { return p.admitters[i].id >= from })
 	known := i < len(p.admitters) && p.admitters[i].id == from
 	switch {
-	case h.Slots == 0 && known:
+	case c.Slots == 0 && known:
 		p.admitters = append(p.admitters[:i], p.admitters[i+1:]...)
-		d.changed(p)
+		d.listChanged(p)
 		return
-	case h.Slots == 0:
+	case c.Slots == 0:
 		return
 	case !known:
 		p.admitters = append(p.admitters, dirAdmitter{})
@@ -83,36 +83,37 @@
 		p.admitters[i] = dirAdmitter{id: from}
 	}
 	a := &p.admitters[i]
-	if a.inc != 0 && a.inc != incarnation {
-		d.restarted(p, from, incarnation)
+	if a.incarnation != 0 && a.incarnation != incarnation {
+		d.announceRestart(p, from, incarnation)
 	}
-	changed := a.slots != h.Slots
-	a.inc, a.slots, a.idle, a.at = incarnation, h.Slots, h.Idle, d.n.now
+	changed := a.slots != c.Slots
+	a.incarnation, a.slots, a.idle, a.at = incarnation, c.Slots, c.Idle, d.n.now
 	if changed {
-		d.changed(p)
-	} else if h.Version != p.version {
-		d.send(p, from)
+		d.listChanged(p)
+	} else if c.ListVersion != p.version {
+		d.sendList(p, from)
 	}
-	d.offer(p)
+	d.offerSlots(p)
 }
 
-// restarted tells the entries that wait that an admitter has forgotten them.
-func (d *directory) restarted(p *dirPool, id msg.RouterID, incarnation uint64) {
+// announceRestart tells the entries with waiting requests that an admitter has
+// restarted and lost their registrations.
+func (d *directory) announceRestart(p *dirPool, id msg.RouterID, incarnation uint64) {
 	for _, e := range p.entries {
 		if e.count > 0 {
-			m := d.n.to(e.id)
-			m.Offers = append(m.Offers, Offer{Pool: p.id, Admitter: id, Restart: incarnation})
+			m := d.n.messageTo(e.id)
+			m.Offers = append(m.Offers, Offer{Pool: p.id, Admitter: id, NewIncarnation: incarnation})
 		}
 	}
 }
 
-// ask takes an entry's notice that it has requests waiting, or none.
-func (d *directory) ask(from msg.RouterID, a Ask) {
-	p := d.pool(a.Pool)
+// handleDemand applies an entry's Demand.
+func (d *directory) handleDemand(from msg.RouterID, demand Demand) {
+	p := d.pool(demand.Pool)
 	e := p.entry(from)
-	e.count, e.at, e.knows = a.Count, d.n.now, a.Version
-	d.tell(p, e)
-	d.offer(p)
+	e.count, e.at, e.knownVersion = demand.Count, d.n.now, demand.ListVersion
+	d.sendListIfStale(p, e)
+	d.offerSlots(p)
 }
 
 func (p *dirPool) entry(id msg.RouterID) *dirEntry {
@@ -125,8 +126,9 @@
 	return &p.entries[len(p.entries)-1]
 }
 
-// changed gives the list a new version and tells the entries that wait.
-func (d *directory) changed(p *dirPool) {
+// listChanged assigns the list a new version and sends it to the entries with
+// waiting requests.
+func (d *directory) listChanged(p *dirPool) {
 	h := xxhash.New()
 	for _, a := range p.admitters {
 		_, _ = h.WriteString(string(a.id))
@@ -135,63 +137,66 @@
 	p.version = h.Sum64() >> 32
 	for i := range p.entries {
 		if p.entries[i].count > 0 {
-			d.tell(p, &p.entries[i])
+			d.sendListIfStale(p, &p.entries[i])
 		}
 	}
 }
 
-// tell sends the list of admitters to an entry that does not know it.
-func (d *directory) tell(p *dirPool, e *dirEntry) {
-	if e.knows == p.version || (len(p.admitters) == 0 && d.n.now-p.since < settleTime) {
+// sendListIfStale sends the list of admitters to an entry that has another
+// version. An empty list is sent only once the directory has had time to hear
+// from all admitters.
+func (d *directory) sendListIfStale(p *dirPool, e *dirEntry) {
+	if e.knownVersion == p.version || (len(p.admitters) == 0 && d.n.now-p.since < directoryWarmUp) {
 		return
 	}
-	e.knows = p.version
-	d.send(p, e.id)
+	e.knownVersion = p.version
+	d.sendList(p, e.id)
 }
 
-func (d *directory) send(p *dirPool, to msg.RouterID) {
-	a := Admitters{Pool: p.id, Version: p.version}
+func (d *directory) sendList(p *dirPool, to msg.RouterID) {
+	list := AdmitterList{Pool: p.id, Version: p.version}
 	for _, x := range p.admitters {
-		a.Routers = append(a.Routers, x.id)
-		a.Slots = append(a.Slots, x.slots)
+		list.Routers = append(list.Routers, x.id)
+		list.Slots = append(list.Slots, x.slots)
 	}
-	m := d.n.to(to)
-	m.Admitters = append(m.Admitters, a)
+	m := d.n.messageTo(to)
+	m.AdmitterLists = append(m.AdmitterLists, list)
 }
 
-// offer brings idle admitters to waiting entries, each entry in its turn.
-func (d *directory) offer(p *dirPool) {
+// offerSlots offers the slots of idle admitters to entries with waiting
+// requests, in rotation.
+func (d *directory) offerSlots(p *dirPool) {
 	for i := range p.admitters {
 		a := &p.admitters[i]
 		for tries := len(p.entries); tries > 0 && a.idle > 0; tries-- {
-			p.turn = (p.turn + 1) % len(p.entries)
-			e := &p.entries[p.turn]
+			p.nextEntry = (p.nextEntry + 1) % len(p.entries)
+			e := &p.entries[p.nextEntry]
 			if e.count == 0 {
 				continue
 			}
 			k := min(e.count, a.idle)
 			e.count -= k
 			a.idle -= k
-			m := d.n.to(e.id)
+			m := d.n.messageTo(e.id)
 			m.Offers = append(m.Offers, Offer{Pool: p.id, Admitter: a.id, Idle: k})
 		}
 	}
 }
 
-// membersChanged forgets routers that are gone, and pools that are no longer
-// this router's.
+// membersChanged removes routers that are gone, and pools that no longer belong
+// to this router.
 func (d *directory) membersChanged() {
 	for id, p := range d.pools {
-		if d.n.members.owner(ownPool, string(id)) != d.n.cfg.ID {
+		if d.n.members.owner(ownerOfPool, string(id)) != d.n.cfg.ID {
 			delete(d.pools, id)
 			continue
 		}
-		d.keep(p, func(id msg.RouterID, _ time.Duration) bool { return d.n.members.has(id) })
+		d.prune(p, func(id msg.RouterID, _ time.Duration) bool { return d.n.members.contains(id) })
 	}
 }
 
-// keep drops the admitters and entries that ok refuses.
-func (d *directory) keep(p *dirPool, ok func(msg.RouterID, time.Duration) bool) {
+// prune removes the admitters and entries for which ok returns false.
+func (d *directory) prune(p *dirPool, ok func(msg.RouterID, time.Duration) bool) {
 	before := len(p.admitters)
 	admitters := p.admitters[:0]
 	for _, a := range p.admitters {
@@ -208,17 +213,17 @@
 	}
 	p.entries = entries
 	if len(admitters) != before {
-		d.changed(p)
+		d.listChanged(p)
 	}
 }
 
 func (d *directory) tick() {
-	if d.n.now < d.next {
+	if d.n.now < d.nextExpiryAt {
 		return
 	}
-	d.next = d.n.now + haveInterval
-	old := d.n.now - haveExpiry
+	d.nextExpiryAt = d.n.now + capacityInterval
+	old := d.n.now - capacityExpiry
 	for _, p := range d.pools {
-		d.keep(p, func(_ msg.RouterID, at time.Duration) bool { return at >= old })
+		d.prune(p, func(_ msg.RouterID, at time.Duration) bool { return at >= old })
 	}
 }
--- a/internal/core/share/estimate.go
+++ b/internal/core/share/estimate.go
@@ -2,26 +2,27 @@
 
 import "github.com/windscale/windscale/internal/core/msg"
 
-// meanStep is the weight of a new value in a running mean.
-const meanStep = 1.0 / 8
+// meanWeight is the weight of a new value in a runningMean.
+const meanWeight = 1.0 / 8
 
-// mean is a running mean; its zero value knows nothing.
-type mean struct {
+// runningMean is an exponentially weighted moving average. The zero value is
+// empty.
+type runningMean struct {
 	value float64
 	known bool
 }
 
-func (m *mean) add(v float64) {
+func (m *runningMean) add(v float64) {
 	if !m.known {
 		m.value, m.known = v, true
 		return
 	}
-	m.value += (v - m.value) * meanStep
+	m.value += (v - m.value) * meanWeight
 }
 
-// estimate is what a request of the customer is expected to cost: the mean of
-// the customer's requests in the pool, else of the pool's, else 1.
-func estimate(customer, pool mean) msg.Cost {
+// estimateCost returns the expected cost of a customer's request: the
+// customer's mean in the pool, or else the pool's mean, or else 1.
+func estimateCost(customer, pool runningMean) msg.Cost {
 	switch {
 	case customer.known:
 		return max(1, msg.Cost(customer.value))
--- a/internal/core/share/export_test.go
+++ b/internal/core/share/export_test.go
@@ -6,18 +6,19 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Check returns what is wrong with the node's books, or "".
+// Check returns a description of the first inconsistency in the node's state,
+// or "".
 func (n *Node) Check() string {
 	held := map[*poolServer]int{}
 	for _, g := range n.admit.grants {
 		held[g.server]++
 	}
 	for id, s := range n.admit.servers {
-		if s.held != held[s] {
-			return fmt.Sprintf("server %s: %d held, %d grants", id, s.held, held[s])
+		if s.outstanding != held[s] {
+			return fmt.Sprintf("server %s: %d held, %d grants", id, s.outstanding, held[s])
 		}
-		if s.held > s.limit.slots {
-			return fmt.Sprintf("server %s: %d held of %d slots", id, s.held, s.limit.slots)
+		if s.outstanding > s.limit.slots {
+			return fmt.Sprintf("server %s: %d held of %d slots", id, s.outstanding, s.limit.slots)
 		}
 	}
 	for _, p := range n.admit.pools {
@@ -60,10 +61,10 @@
 	return ""
 }
 
-// Held returns how many grants of the server's slots have not ended.
+// Held returns the number of the server's grants that have not ended.
 func (n *Node) Held(id msg.ServerID) int {
 	if s := n.admit.servers[id]; s != nil {
-		return s.held
+		return s.outstanding
 	}
 	return 0
 }
--- a/internal/core/share/fuzz_test.go
+++ b/internal/core/share/fuzz_test.go
@@ -17,20 +17,21 @@
 	fuzzCostMax = 100
 )
 
-// world is a fleet under faults, and the oracle: a request starts at most
-// once, every node's books are right, and when the faults are over all that
-// waits runs, no slot is kept back, and the customers are served alike.
-type world struct {
+// faultyFleet injects faults into a fleet and checks its invariants: a request
+// starts at most once, and every node's state is consistent. After the faults
+// end, all waiting requests run, no slot stays reserved, and the customers get
+// equal service.
+type faultyFleet struct {
 	*fleet
 	t     *rapid.T
 	all   []*simRequest
 	count int
 }
 
-func newWorld(t *rapid.T) *world {
+func newFaultyFleet(t *rapid.T) *faultyFleet {
 	routers := rapid.IntRange(1, 8).Draw(t, "routers")
 	servers := rapid.IntRange(1, 5).Draw(t, "servers")
-	w := &world{fleet: newFleet(rapid.Uint64().Draw(t, "seed"), routers, share.Config{}), t: t}
+	w := &faultyFleet{fleet: newFleet(rapid.Uint64().Draw(t, "seed"), routers, share.Config{}), t: t}
 	for i := range servers {
 		w.addServer(fmt.Sprintf("s%d", i), fuzzSlots, fuzzRate, poolName(i%2))
 	}
@@ -39,11 +40,11 @@
 	return w
 }
 
-func (w *world) router(name string) msg.RouterID {
+func (w *faultyFleet) router(name string) msg.RouterID {
 	return rapid.SampledFrom(w.ids).Draw(w.t, name)
 }
 
-func (w *world) send(customer int, pool msg.PoolID, entry msg.RouterID, cost, concurrency int) {
+func (w *faultyFleet) send(customer int, pool msg.PoolID, entry msg.RouterID, cost, concurrency int) {
 	w.count++
 	r := request(fmt.Sprint(w.count), fmt.Sprint("c", customer), float64(cost), entry)
 	r.Pool = pool
@@ -52,7 +53,7 @@
 	w.arrive(r)
 }
 
-func (w *world) check() {
+func (w *faultyFleet) check() {
 	for _, id := range w.ids {
 		if wrong := w.nodes[id].Check(); wrong != "" {
 			w.t.Fatalf("%s: %s", id, wrong)
@@ -65,7 +66,7 @@
 	}
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *faultyFleet) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"": func(*rapid.T) { w.check() },
 		"arrive": func(t *rapid.T) {
@@ -81,15 +82,15 @@
 				r := w.all[rapid.IntRange(0, len(w.all)-1).Draw(t, "which")]
 				w.nodes[r.entry].Cancel(w.clock(r.entry), r.ID)
 				r.refused = r.starts == 0
-				w.pump(r.entry)
+				w.runActions(r.entry)
 			}
 		},
 		"wait": func(t *rapid.T) {
 			w.run(w.now + time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms"))*time.Millisecond)
 		},
 		"loss":      func(t *rapid.T) { w.loss = rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "loss") },
-		"partition": func(*rapid.T) { w.cut[w.router("away")] = 1 },
-		"heal":      func(*rapid.T) { w.cut = map[msg.RouterID]int{} },
+		"partition": func(*rapid.T) { w.side[w.router("away")] = 1 },
+		"heal":      func(*rapid.T) { w.side = map[msg.RouterID]int{} },
 		"restart":   func(*rapid.T) { w.restart(w.router("restarted")) },
 		"clock": func(t *rapid.T) {
 			w.skew[w.router("paused")] += time.Duration(rapid.IntRange(1, 30).Draw(t, "s")) * time.Second
@@ -97,7 +98,7 @@
 		"server": func(t *rapid.T) {
 			s := w.servers[msg.ServerID(fmt.Sprint("s", rapid.IntRange(0, len(w.servers)-1).Draw(t, "server")))]
 			s.leaving = rapid.Bool().Draw(t, "leaving")
-			s.refuses = rapid.Bool().Draw(t, "refuses")
+			s.overloaded = rapid.Bool().Draw(t, "refuses")
 		},
 		"members": func(*rapid.T) {
 			of, without := w.router("of"), w.router("without")
@@ -106,9 +107,9 @@
 	}
 }
 
-// restart starts a router again with no memory. Its callers are cut off; what
-// runs at the servers runs on.
-func (w *world) restart(id msg.RouterID) {
+// restart restarts a router without state. Its callers are disconnected;
+// requests that run at servers continue.
+func (w *faultyFleet) restart(id msg.RouterID) {
 	for _, r := range w.all {
 		if r.entry == id && r.starts == 0 {
 			r.refused = true
@@ -119,11 +120,11 @@
 	w.setServersOf(id)
 }
 
-// settle ends the faults and lets what they left behind expire.
-func (w *world) settle() {
-	w.loss, w.cut = 0, map[msg.RouterID]int{}
+// settle ends the faults and waits until their leftovers have expired.
+func (w *faultyFleet) settle() {
+	w.loss, w.side = 0, map[msg.RouterID]int{}
 	for _, s := range w.servers {
-		s.leaving, s.refuses = false, false
+		s.leaving, s.overloaded = false, false
 	}
 	w.setMembers(w.ids)
 	w.setServers()
@@ -131,7 +132,7 @@
 }
 
 // backlog keeps requests of all customers waiting in the first pool.
-func (w *world) backlog(entries []msg.RouterID) {
+func (w *faultyFleet) backlog(entries []msg.RouterID) {
 	left := map[simKey]int{}
 	feed := func(c int) {
 		for left[simKey{poolName(0), msg.CustomerID(fmt.Sprint("c", c))}] < 30 {
@@ -150,9 +151,9 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newFaultyFleet(t)
 		t.Repeat(w.actions())
 		w.settle()
 		w.check()
@@ -172,11 +173,11 @@
 	})
 }
 
-// floor is the first pool's floor of the totals, where it is highest.
-func (w *world) floor() float64 {
+// floor returns the highest floor of the first pool's totals at any router.
+func (w *faultyFleet) floor() float64 {
 	high := 0.0
 	for _, id := range w.ids {
-		for _, v := range w.nodes[id].Views() {
+		for _, v := range w.nodes[id].CustomerViews() {
 			if v.Pool == poolName(0) {
 				high = max(high, v.Floor)
 			}
@@ -185,9 +186,9 @@
 	return high
 }
 
-// checkBacklogged loads the fleet after its faults: no slot may idle, and the
-// service of the customers may differ only by what is running.
-func (w *world) checkBacklogged(t *rapid.T) {
+// checkBacklogged loads the fleet after the faults: no slot may idle, and the
+// customers' service may differ only by what is running.
+func (w *faultyFleet) checkBacklogged(t *rapid.T) {
 	var entries []msg.RouterID
 	for range 3 {
 		entries = append(entries, w.router("entry"))
@@ -204,7 +205,7 @@
 	w.run(w.now + 20*time.Second)
 	util := (w.busyTime() - busy).Seconds() / (w.now - began).Seconds() / float64(slots)
 	if util < 0.97 {
-		t.Fatalf("utilisation %.3f while work waits", util)
+		t.Fatalf("utilisation %.3f while requests wait", util)
 	}
 	got := w.service()
 	low, high := 1e18, 0.0
@@ -220,29 +221,29 @@
 	}
 }
 
-// refuse ends an attempt that the server does not run; it comes again and
-// avoids the server.
+// refuse ends an attempt that the server does not run. The request arrives
+// again and avoids the server.
 func (f *fleet) refuse(r *simRequest) {
 	n := f.nodes[r.entry]
 	f.after(f.latency(), func() {
 		r.starts--
 		if f.nodes[r.entry] != n {
-			r.refused = true // its caller was cut off
+			r.refused = true // its caller was disconnected
 			return
 		}
-		n.End(f.clock(r.entry), r.ID, share.Result{Busy: r.server.refuses, Leaving: r.server.leaving})
+		n.End(f.clock(r.entry), r.ID, share.Result{Busy: r.server.overloaded, Leaving: r.server.leaving})
 		r.Avoid = []msg.ServerID{r.server.id}
 		n.Arrive(f.clock(r.entry), r.Request)
-		f.pump(r.entry)
+		f.runActions(r.entry)
 	})
 }
 
-// Whatever a message says, it is read back as it was written, and a node takes
-// it without harm to its books.
-func TestAnyMessage(t *testing.T) {
+// Any message must survive encoding and decoding, and must leave a node's state
+// consistent.
+func TestArbitraryMessages(t *testing.T) {
 	message := rapid.Make[*share.Message]()
 	rapid.Check(t, func(t *rapid.T) {
-		n := admitterOf(4)
+		n := newAdmitter(4)
 		n.SetMembers(0, []share.Member{{ID: "e0"}, {ID: "e1"}})
 		for range rapid.IntRange(1, 5).Draw(t, "messages") {
 			m := message.Draw(t, "message")
@@ -254,7 +255,7 @@
 			} else if m, err = share.Decode(b); err != nil {
 				t.Fatal(err)
 			}
-			n.Step(time.Second, "e0", m)
+			n.HandleMessage(time.Second, "e0", m)
 			n.Tick(2 * time.Second)
 			n.Ready()
 		}
--- a/internal/core/share/grant.go
+++ b/internal/core/share/grant.go
@@ -7,11 +7,11 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// resendAfter is how long after it was sent a grant that is not confirmed is
-// sent again; each further time takes twice as long.
-const resendAfter = 150 * time.Millisecond
+// grantResendDelay is the time after which an unconfirmed grant is first sent
+// again. The delay doubles with each resend.
+const grantResendDelay = 150 * time.Millisecond
 
-// grantAll hands out free slots until none is free or nothing waits for one.
+// grantAll grants free slots until none is left or nothing waits for one.
 func (a *admitter) grantAll() {
 	if !a.dirty {
 		return
@@ -19,29 +19,29 @@
 	a.dirty = false
 	for a.grantOne() {
 	}
-	for _, p := range a.order {
-		p.markWaited()
+	for _, p := range a.poolsByID {
+		p.markWaiting()
 	}
 }
 
-// markWaited notes who was not granted a slot at once.
-func (p *admitPool) markWaited() {
-	for _, c := range p.fresh {
-		c.waited = c.waited || c.waiting > 0
+// markWaiting marks the customers that were not granted a slot at once.
+func (p *admitPool) markWaiting() {
+	for _, c := range p.newlyQueued {
+		c.waitedSinceMerge = c.waitedSinceMerge || c.waiting > 0
 	}
-	p.fresh = p.fresh[:0]
+	p.newlyQueued = p.newlyQueued[:0]
 }
 
-// grantOne hands out a slot of the server with the most free ones, and tells
-// whether there was one that something waits for.
+// grantOne grants a slot of the server with the most free ones, and reports
+// whether there was a free slot that a request waits for.
 func (a *admitter) grantOne() bool {
 	var best *poolServer
-	var to *registration
-	for _, s := range a.mine {
-		if s.free() <= 0 || (best != nil && s.free() <= best.free()) {
+	var to *registeredQueue
+	for _, s := range a.ownedServers {
+		if s.freeSlots() <= 0 || (best != nil && s.freeSlots() <= best.freeSlots()) {
 			continue
 		}
-		if r := a.next(s); r != nil {
+		if r := a.nextForServer(s); r != nil {
 			best, to = s, r
 		}
 	}
@@ -52,45 +52,46 @@
 	return true
 }
 
-// next returns the registration that a slot of the server should go to: of
-// the least served customer, the server's pools in turn.
-func (a *admitter) next(s *poolServer) *registration {
+// nextForServer returns the queue that gets the server's next slot: that of the
+// least served customer of the first pool with an eligible one. The pools take
+// turns.
+func (a *admitter) nextForServer(s *poolServer) *registeredQueue {
 	for i := range s.pools {
-		p := a.pools[s.pools[(s.turn+i)%len(s.pools)]]
-		if r := p.next(s.id); r != nil {
+		p := a.pools[s.pools[(s.nextPool+i)%len(s.pools)]]
+		if r := p.nextRegistration(s.id); r != nil {
 			return r
 		}
 	}
 	return nil
 }
 
-// next returns the registration of the pool that is next for a slot of the
-// server. The heap's order is followed past its first account only if all
-// that one's registrations avoid the server.
-func (p *admitPool) next(server msg.ServerID) *registration {
+// nextRegistration returns the pool's queue that gets the server's next slot.
+// Accounts beyond the first of the heap are considered only if all queues of
+// the first one avoid the server.
+func (p *admitPool) nextRegistration(server msg.ServerID) *registeredQueue {
 	if len(p.heap) == 0 {
 		return nil
 	}
-	if r := p.heap[0].nextReg(server); r != nil {
+	if r := p.heap[0].nextRegistration(server); r != nil {
 		return r
 	}
-	var best *registration
+	var best *registeredQueue
 	for _, c := range p.heap {
 		if best != nil && c.key >= best.account.key {
 			continue
 		}
-		if r := c.nextReg(server); r != nil {
+		if r := c.nextRegistration(server); r != nil {
 			best = r
 		}
 	}
 	return best
 }
 
-// nextReg returns the customer's next registration that takes the server, in
-// turn.
-func (c *account) nextReg(server msg.ServerID) *registration {
+// nextRegistration returns the customer's next queue, in rotation, that accepts
+// the server.
+func (c *account) nextRegistration(server msg.ServerID) *registeredQueue {
 	for i := range c.regs {
-		r := c.regs[(c.turn+i)%len(c.regs)]
+		r := c.regs[(c.nextRegIndex+i)%len(c.regs)]
 		if r.count > 0 && !slices.Contains(r.avoid, server) {
 			return r
 		}
@@ -98,36 +99,36 @@
 	return nil
 }
 
-// grant gives the registration a slot of the server and charges the estimate.
-func (a *admitter) grant(s *poolServer, r *registration) {
+// grant grants the queue a slot of the server and charges the estimated cost.
+func (a *admitter) grant(s *poolServer, r *registeredQueue) {
 	c := r.account
-	s.turn++
-	c.turn = (slices.Index(c.regs, r) + 1) % len(c.regs)
+	s.nextPool++
+	c.nextRegIndex = (slices.Index(c.regs, r) + 1) % len(c.regs)
 	a.lastSeq++
 	g := &grantRecord{
 		seq: a.lastSeq, server: s, account: c, reg: r, entry: r.entry,
-		charged: estimate(c.mean, c.pool.mean), at: a.n.now, alive: a.n.now,
+		charged: estimateCost(c.mean, c.pool.mean), at: a.n.now, keptAliveAt: a.n.now,
 	}
-	g.guess = g.charged
+	g.estimated = g.charged
 	a.stats.Granted++
 	a.grants[g.seq] = g
 	a.entries[r.entry].grants[g.seq] = g
-	s.hold(a.n.now, 1)
+	s.addOutstanding(a.n.now, 1)
 	r.count--
-	r.pending = append(r.pending, g.seq)
+	r.unseen = append(r.unseen, g.seq)
 	c.charge(g.charged)
 	c.setWaiting(c.waiting - 1)
 	if r.entry != a.n.cfg.ID {
-		g.sent, g.wait, g.resend = true, resendAfter, a.n.now+resendAfter
-		a.unsure = append(a.unsure, g)
+		g.unconfirmed, g.resendDelay, g.resendAt = true, grantResendDelay, a.n.now+grantResendDelay
+		a.unconfirmed = append(a.unconfirmed, g)
 	}
-	a.send(g)
+	a.sendGrant(g)
 }
 
-func (a *admitter) send(g *grantRecord) {
-	m := a.n.to(g.entry)
-	if !m.about(a.entries[g.entry].incarnation) {
+func (a *admitter) sendGrant(g *grantRecord) {
+	m := a.n.messageTo(g.entry)
+	if !m.addressTo(a.entries[g.entry].incarnation) {
 		return // the entry has restarted
 	}
-	m.Grants = append(m.Grants, Grant{Seq: g.seq, Queue: g.reg.queue, Server: g.server.id, Addr: a.n.addrs[g.server.id]})
+	m.Grants = append(m.Grants, Grant{Seq: g.seq, QueueID: g.reg.queue, Server: g.server.id, Addr: a.n.addrs[g.server.id]})
 }
--- a/internal/core/share/mechanism_test.go
+++ b/internal/core/share/mechanism_test.go
@@ -11,22 +11,24 @@
 	"github.com/windscale/windscale/internal/core/share"
 )
 
-// Each test here is of one mechanism, and fails without it (docs/PROOFS.md).
+// Each test in this file covers one mechanism, and fails without it
+// (docs/PROOFS.md).
 
-// feed keeps the customer's requests outstanding at the entry.
-type feed struct {
-	customer string
-	entry    msg.RouterID
-	weight   float64
-	cost     float64
-	want     int
-	from     time.Duration // when it begins
+// closedLoop keeps a fixed number of a customer's requests outstanding at an
+// entry.
+type closedLoop struct {
+	customer    string
+	entry       msg.RouterID
+	weight      float64
+	cost        float64
+	outstanding int
+	from        time.Duration // start time
 }
 
-// keepFed keeps every feed's requests outstanding from now on.
-func (f *fleet) keepFed(feeds ...*feed) {
-	of, count := map[msg.RequestID]*feed{}, 0
-	send := func(x *feed) {
+// startLoops starts the loops, each at its start time.
+func (f *fleet) startLoops(loops ...*closedLoop) {
+	of, count := map[msg.RequestID]*closedLoop{}, 0
+	send := func(x *closedLoop) {
 		count++
 		r := request(fmt.Sprint("fed", count), x.customer, x.cost, x.entry)
 		r.Weight = x.weight
@@ -38,18 +40,18 @@
 			send(x)
 		}
 	}
-	for _, x := range feeds {
+	for _, x := range loops {
 		f.after(x.from, func() {
-			for range x.want {
+			for range x.outstanding {
 				send(x)
 			}
 		})
 	}
 }
 
-// gapOver returns the largest gap between any two of the customers in any
-// interval of the time to come.
-func (f *fleet) gapOver(d time.Duration, customers ...string) float64 {
+// maxGapDuring runs the fleet for d and returns the largest gap between any two
+// of the customers in any interval of that time.
+func (f *fleet) maxGapDuring(d time.Duration, customers ...string) float64 {
 	of := map[simKey]int{}
 	for _, c := range customers {
 		of[simKey{pool, msg.CustomerID(c)}] = 1
@@ -63,165 +65,169 @@
 }
 
 // Half of the customers wait at a few admitters, the others at all. Only the
-// fleet's totals tell the few that theirs are behind.
-func TestGapIsBoundedBetweenCustomersThatWaitApart(t *testing.T) {
+// fleet's totals show the few admitters that their customers are behind.
+func TestServiceGapIsBoundedBetweenCustomersAtDifferentAdmitters(t *testing.T) {
 	f := smallFleet(24, 24) // 96 slots
-	var feeds []*feed
+	var loops []*closedLoop
 	var names []string
 	for c := range 60 {
-		x := &feed{customer: fmt.Sprint("c", c), entry: f.ids[c%24], weight: 1, cost: 100, want: 4}
+		x := &closedLoop{customer: fmt.Sprint("c", c), entry: f.ids[c%24], weight: 1, cost: 100, outstanding: 4}
 		if c%2 == 0 {
-			x.want = 40
+			x.outstanding = 40
 		}
-		feeds, names = append(feeds, x), append(names, x.customer)
+		loops, names = append(loops, x), append(names, x.customer)
 	}
-	f.keepFed(feeds...)
+	f.startLoops(loops...)
 	f.run(f.now + 20*time.Second)
-	gap := f.gapOver(2*time.Minute, names...)
+	gap := f.maxGapDuring(2*time.Minute, names...)
 	assert.Assert(t, gap < 3000, "%.0f", gap)
 }
 
-// A customer of three times the weight gets three times the service.
-func TestGapIsOfServiceOverWeight(t *testing.T) {
+// A customer of three times the weight must get three times the service.
+func TestServiceIsProportionalToWeight(t *testing.T) {
 	f := smallFleet(3, 2)
-	f.keepFed(&feed{customer: "a", entry: "r0", weight: 1, cost: 50, want: 20},
-		&feed{customer: "b", entry: "r1", weight: 3, cost: 50, want: 20})
+	f.startLoops(&closedLoop{customer: "a", entry: "r0", weight: 1, cost: 50, outstanding: 20},
+		&closedLoop{customer: "b", entry: "r1", weight: 3, cost: 50, outstanding: 20})
 	f.run(f.now + 10*time.Second)
-	gap := f.gapOver(time.Minute, "a", "b")
+	gap := f.maxGapDuring(time.Minute, "a", "b")
 	assert.Assert(t, gap < 1000, "%.0f", gap)
 }
 
-// Whoever comes back from idle neither takes all for what it did not use, nor
-// waits for what others have had.
-func TestNewcomerIsLevelWithTheOthers(t *testing.T) {
+// A customer that returns from idle must neither take all slots as compensation
+// for its idle time, nor wait on account of what others have been given
+// meanwhile.
+func TestReturningCustomerHasNeitherCreditNorDebt(t *testing.T) {
 	f := smallFleet(1, 1)
-	f.keepFed(&feed{customer: "old", entry: "r0", weight: 1, cost: 10, want: 20},
-		&feed{customer: "new", entry: "r0", weight: 1, cost: 10, want: 20, from: time.Minute})
+	f.startLoops(&closedLoop{customer: "old", entry: "r0", weight: 1, cost: 10, outstanding: 20},
+		&closedLoop{customer: "new", entry: "r0", weight: 1, cost: 10, outstanding: 20, from: time.Minute})
 	f.run(f.now + time.Minute)
-	gap := f.gapOver(10*time.Second, "old", "new")
+	gap := f.maxGapDuring(10*time.Second, "old", "new")
 	assert.Assert(t, gap < 100, "%.0f", gap)
 }
 
-// waits registers one queue of each customer with the admitter.
-func waits(n *share.Node, seq uint64, customers ...string) {
+// sendRegistrations registers one queue of each customer with the admitter.
+func sendRegistrations(n *share.Node, seq uint64, customers ...string) {
 	m := &share.Message{Incarnation: 1, Seq: seq}
 	for i, c := range customers {
-		m.Waits = append(m.Waits, share.Wait{
-			Queue: uint64(i + 1), Pool: pool, Customer: msg.CustomerID(c), Weight: 1, Count: 20,
+		m.Registrations = append(m.Registrations, share.Registration{
+			QueueID: uint64(i + 1), Pool: pool, Customer: msg.CustomerID(c), Weight: 1, Count: 20,
 		})
 	}
-	n.Step(0, "e0", m)
+	n.HandleMessage(0, "e0", m)
 }
 
-// ends tells the admitter that a grant has ended, and returns its next grants.
-func ends(n *share.Node, end share.End) []share.Grant {
-	n.Step(0, "e0", &share.Message{Incarnation: 1, Of: 1, Ends: []share.End{end}})
-	return grants(n)
+// releaseGrant sends the admitter a release, and returns its next grants.
+func releaseGrant(n *share.Node, end share.Release) []share.Grant {
+	n.HandleMessage(0, "e0", &share.Message{Incarnation: 1, ReceiverIncarnation: 1, Releases: []share.Release{end}})
+	return takeGrants(n)
 }
 
-// A long request is charged while it runs, not only at its end.
+// A long request must be charged while it runs, not only at its end.
 func TestRunningRequestsAreCharged(t *testing.T) {
-	n := admitterOf(2)
-	waits(n, 1, "a", "b")
-	first := grants(n) // both go to one customer: nothing has waited yet
+	n := newAdmitter(2)
+	sendRegistrations(n, 1, "a", "b")
+	first := takeGrants(n) // both go to one customer: nothing has waited yet
 	assert.Equal(t, len(first), 2)
-	n.Step(0, "e0", &share.Message{Incarnation: 1, Of: 1, Seen: first[1].Seq, Held: &share.Held{
+	n.HandleMessage(0, "e0", &share.Message{Incarnation: 1, ReceiverIncarnation: 1, HighestGrantSeen: first[1].Seq, KeepAlive: &share.KeepAlive{
 		Seqs: []uint64{first[0].Seq, first[1].Seq}, Costs: []msg.Cost{1000, 1},
 	}})
 	last := first[1].Seq
 	for range 5 {
-		next := ends(n, share.End{Seq: last, Cost: 10, First: 1})
+		next := releaseGrant(n, share.Release{Seq: last, Cost: 10, FirstTokenMs: 1})
 		assert.Equal(t, len(next), 1)
-		assert.Assert(t, next[0].Queue != first[0].Queue)
+		assert.Assert(t, next[0].QueueID != first[0].QueueID)
 		last = next[0].Seq
 	}
 }
 
-// An End that was lost is found by the keep-alive that no longer names it; a
-// grant on its way is not taken for one.
-func TestKeepAliveFindsLostEnds(t *testing.T) {
-	n := admitterOf(2)
-	waits(n, 1, "a")
-	first := grants(n)
+// A lost Release must be detected by the next keep-alive, which does not list
+// the grant. A grant in transit must not be taken for a released one.
+func TestKeepAliveReplacesLostReleases(t *testing.T) {
+	n := newAdmitter(2)
+	sendRegistrations(n, 1, "a")
+	first := takeGrants(n)
 	assert.Equal(t, len(first), 2)
-	n.Step(0, "e0", &share.Message{Incarnation: 1, Of: 1, Seen: first[0].Seq, Held: &share.Held{}})
-	assert.Equal(t, len(grants(n)), 1)
+	n.HandleMessage(0, "e0", &share.Message{Incarnation: 1, ReceiverIncarnation: 1, HighestGrantSeen: first[0].Seq, KeepAlive: &share.KeepAlive{}})
+	assert.Equal(t, len(takeGrants(n)), 1)
 }
 
-// A paused admitter does not take its own silence for the entries'.
+// A paused admitter must not attribute its own pause to entries that sent no
+// keep-alives. Without the mechanism it releases all grants after the pause.
 func TestPausedAdmitterKeepsGrants(t *testing.T) {
-	n := admitterOf(2)
-	waits(n, 1, "a")
-	first := grants(n)
+	n := newAdmitter(2)
+	sendRegistrations(n, 1, "a")
+	first := takeGrants(n)
 	assert.Equal(t, len(first), 2)
-	n.Step(0, "e0", &share.Message{Incarnation: 1, Of: 1, Seen: first[1].Seq, Held: &share.Held{
+	n.HandleMessage(0, "e0", &share.Message{Incarnation: 1, ReceiverIncarnation: 1, HighestGrantSeen: first[1].Seq, KeepAlive: &share.KeepAlive{
 		Seqs: []uint64{first[0].Seq, first[1].Seq},
 	}})
 	const pause = 30 * time.Second
 	n.Tick(10 * time.Millisecond)
 	n.Tick(pause)
-	assert.Equal(t, len(grants(n)), 0)
+	assert.Equal(t, len(takeGrants(n)), 0)
 	for at := pause; at <= pause+share.DefaultGrantTimeout+time.Second; at += 100 * time.Millisecond {
 		n.Tick(at)
 	}
-	again := map[uint64]bool{} // real silence is another thing; unconfirmed grants come twice
-	for _, g := range grants(n) {
+	again := map[uint64]bool{} // entries that stay silent after the pause do lose their grants; unconfirmed grants are sent twice
+	for _, g := range takeGrants(n) {
 		again[g.Seq] = true
 	}
 	assert.Equal(t, len(again), 2)
 }
 
-// entryWith returns an entry with one request waiting, and the number of its
-// queue.
-func entryWith(t *testing.T) (*share.Node, uint64) {
+// newEntryWithRequest returns an entry with one waiting request, and the ID of
+// its queue.
+func newEntryWithRequest(t *testing.T) (*share.Node, uint64) {
 	t.Helper()
 	n := share.New(share.Config{ID: "e0", Incarnation: 1})
 	n.SetMembers(0, []share.Member{{ID: "r0"}})
-	n.Step(0, "r0", &share.Message{Incarnation: 1, Seq: 1, Admitters: []share.Admitters{
+	n.HandleMessage(0, "r0", &share.Message{Incarnation: 1, Seq: 1, AdmitterLists: []share.AdmitterList{
 		{Pool: pool, Version: 7, Routers: []msg.RouterID{"r0"}, Slots: []int{4}},
 	}})
 	n.Arrive(0, share.Request{ID: "1", Pool: pool, Customer: "a", Weight: 1})
 	for _, out := range n.Ready().Send {
-		for _, w := range out.Message.Waits {
-			return n, w.Queue
+		for _, w := range out.Message.Registrations {
+			return n, w.QueueID
 		}
 	}
-	t.Fatal("the wait was not registered")
+	t.Fatal("the waiting request was not registered")
 	return nil, 0
 }
 
-// give grants a slot to the queue and returns what starts and what is returned.
-func give(n *share.Node, now time.Duration, seq, queue uint64) (starts, returned int) {
-	n.Step(now, "r0", &share.Message{Incarnation: 1, Grants: []share.Grant{{Seq: seq, Queue: queue, Server: "s0"}}})
+// deliverGrant grants a slot to the queue, and returns how many requests start
+// and how many slots are returned.
+func deliverGrant(n *share.Node, now time.Duration, seq, queue uint64) (starts, returned int) {
+	n.HandleMessage(now, "r0", &share.Message{Incarnation: 1, Grants: []share.Grant{{Seq: seq, QueueID: queue, Server: "s0"}}})
 	rd := n.Ready()
 	for _, out := range rd.Send {
-		returned += len(out.Message.Ends)
+		returned += len(out.Message.Releases)
 	}
 	return len(rd.Start), returned
 }
 
-// Grants that are repeated start nothing; grants that nobody waits for go back
-// at once; grants that a keep-alive has given up are void.
-func TestGrantsAreTakenOnce(t *testing.T) {
-	n, queue := entryWith(t)
+// Repeated grants must start nothing, grants without a waiting request must be
+// returned at once, and grants that a keep-alive has declared void must be
+// ignored.
+func TestDuplicateAndVoidGrantsAreIgnored(t *testing.T) {
+	n, queue := newEntryWithRequest(t)
 	check := func(now time.Duration, seq uint64, starts, returned int) {
 		t.Helper()
-		s, r := give(n, now, seq, queue)
+		s, r := deliverGrant(n, now, seq, queue)
 		assert.DeepEqual(t, [2]int{s, r}, [2]int{starts, returned})
 	}
 	check(0, 5, 1, 0)
 	check(0, 6, 0, 1)
 	n.Arrive(0, share.Request{ID: "2", Pool: pool, Customer: "a", Weight: 1})
 	check(0, 5, 0, 0)
-	n.Tick(share.DefaultKeepInterval) // says that all up to 6 was seen
+	n.Tick(share.DefaultKeepAliveInterval) // the keep-alive acknowledges all grants up to 6
 	n.Ready()
-	check(share.DefaultKeepInterval, 4, 0, 0)
-	check(share.DefaultKeepInterval, 7, 1, 0)
+	check(share.DefaultKeepAliveInterval, 4, 0, 0)
+	check(share.DefaultKeepAliveInterval, 7, 1, 0)
 }
 
-// A request that finds its admitters full is brought to the one free slot of
-// the fleet.
-func TestFreeSlotIsFoundWhereverItIs(t *testing.T) {
+// A request whose admitters have no free slot must be directed to the fleet's
+// only free slot.
+func TestWaitingRequestGetsTheOnlyFreeSlot(t *testing.T) {
 	f := smallFleet(24, 24) // 4 slots each
 	for i := range 24*4 - 1 {
 		f.arrive(request(fmt.Sprint(i), "a", 100_000, f.ids[i%24]))
@@ -234,32 +240,31 @@
 	assert.Equal(t, r.starts, 1)
 }
 
-// A server that says itself that it is leaving, or that a caller could not
-// reach, gets no new work until a report says otherwise; nor does one that is
-// no longer in the list.
+// A server that reports that it is leaving must get no new requests until a
+// report says otherwise; nor must a server that is removed from the list.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	report := share.LoadReport{Server: "s0", Pools: []msg.PoolID{pool}, Slots: 2}
-	n := admitterOf(2)
+	n := newAdmitter(2)
 	report.Leaving = true
-	n.Load(0, report)
-	waits(n, 1, "a")
-	assert.Equal(t, len(grants(n)), 0)
+	n.HandleLoadReport(0, report)
+	sendRegistrations(n, 1, "a")
+	assert.Equal(t, len(takeGrants(n)), 0)
 	report.Leaving = false
-	n.Load(0, report)
-	got := grants(n)
+	n.HandleLoadReport(0, report)
+	got := takeGrants(n)
 	assert.Equal(t, len(got), 2)
 	n.SetServers(0, nil)
-	assert.Equal(t, len(ends(n, share.End{Seq: got[0].Seq, Cost: 1})), 0)
+	assert.Equal(t, len(releaseGrant(n, share.Release{Seq: got[0].Seq, Cost: 1})), 0)
 	n.SetServers(0, []msg.ServerID{"s0"})
-	n.Load(0, report)
-	assert.Equal(t, len(grants(n)), 1)
+	n.HandleLoadReport(0, report)
+	assert.Equal(t, len(takeGrants(n)), 1)
 }
 
-// What waits at a router is bounded in bytes, and what leaves gives its bytes
-// back.
+// The size of the waiting requests at a router is bounded. A request that
+// leaves the queue must free its bytes.
 func TestWaitingBytesAreBounded(t *testing.T) {
 	n := share.New(share.Config{ID: "r0", Incarnation: 1, QueueBytes: 100})
-	arrive := func(id string, bytes int) []share.Refuse {
+	arrive := func(id string, bytes int) []share.Refusal {
 		n.Arrive(0, share.Request{ID: msg.RequestID(id), Pool: pool, Customer: "a", Weight: 1, Bytes: bytes})
 		return n.Ready().Refuse
 	}
@@ -272,18 +277,18 @@
 	assert.Equal(t, len(arrive("4", 60)), 0)
 }
 
-// What an entry has registered is repeated, should the admitter have lost it.
+// An entry must repeat its registrations, in case the admitter has lost them.
 func TestRegistrationIsRepeated(t *testing.T) {
-	n, queue := entryWith(t)
+	n, queue := newEntryWithRequest(t)
 	repeated := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
 		n.Tick(at)
-		// The admitter is alive: it repeats its notice to the pool's directory,
+		// The admitter is alive: it repeats its Capacity to the pool's directory,
 		// which may be this router.
-		n.Step(at, "r0", &share.Message{Incarnation: 1, Haves: []share.Have{{Pool: pool, Slots: 4, Version: 7}}})
+		n.HandleMessage(at, "r0", &share.Message{Incarnation: 1, Capacities: []share.Capacity{{Pool: pool, Slots: 4, ListVersion: 7}}})
 		for _, out := range n.Ready().Send {
-			for _, w := range out.Message.Waits {
-				assert.Equal(t, w.Queue, queue)
+			for _, w := range out.Message.Registrations {
+				assert.Equal(t, w.QueueID, queue)
 				repeated++
 			}
 		}
@@ -291,8 +296,8 @@
 	assert.Equal(t, repeated, 1)
 }
 
-// Slots of plain services, whose calls are as short as a message's way, are
-// granted ahead.
+// Slots of plain services, whose calls take no longer than a message, must be
+// granted ahead of time.
 func TestShortCallsLeaveNoSlotIdle(t *testing.T) {
 	const plain = msg.PoolID("s/dispatch")
 	f := newFleet(1, 4, share.Config{})
@@ -319,17 +324,17 @@
 	assert.Assert(t, util > 0.9, "%.3f", util)
 }
 
-// A customer that asks now and then is served at once, however many requests of
-// others wait everywhere.
-func TestQuietCustomerIsServedInAFlood(t *testing.T) {
+// A customer that sends occasional requests must be served promptly, however
+// many requests of others wait everywhere.
+func TestOccasionalCustomerIsServedPromptlyUnderLoad(t *testing.T) {
 	f := smallFleet(6, 6) // 24 slots; requests of one second
-	var feeds []*feed
+	var loops []*closedLoop
 	for c := range 3 {
 		for _, id := range f.ids {
-			feeds = append(feeds, &feed{customer: fmt.Sprint("flood", c), entry: id, weight: 1, cost: 100, want: 100})
+			loops = append(loops, &closedLoop{customer: fmt.Sprint("flood", c), entry: id, weight: 1, cost: 100, outstanding: 100})
 		}
 	}
-	f.keepFed(feeds...)
+	f.startLoops(loops...)
 	f.run(f.now + 30*time.Second)
 	for i := range 20 {
 		r := request(fmt.Sprint("quiet", i), "pantry", 100, f.ids[i%6])
--- a/internal/core/share/member.go
+++ b/internal/core/share/member.go
@@ -8,7 +8,7 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// members is the set of live routers, in the order of the tree.
+// members is the set of live routers, in the order that defines the tree.
 type members struct {
 	list []Member
 	byID map[msg.RouterID]int // index in list
@@ -44,8 +44,8 @@
 	return out
 }
 
-// same tells whether the list names the same routers and incarnations.
-func (m members) same(list []Member) bool {
+// equal reports whether the list has the same members with the same attributes.
+func (m members) equal(list []Member) bool {
 	if len(list) != len(m.list) {
 		return false
 	}
@@ -57,23 +57,24 @@
 	return true
 }
 
-func (m members) has(id msg.RouterID) bool {
+func (m members) contains(id msg.RouterID) bool {
 	_, ok := m.byID[id]
 	return ok
 }
 
-// owner is the live router that rendezvous hashing gives the name to: the one
-// with the highest hash of both. A router's leaving moves only what it owned.
-// A leaving router owns nothing, unless all are leaving.
+// owner returns the live router that rendezvous hashing assigns the name to:
+// the one with the highest hash of router and name. When a router is removed,
+// only the names that it owned move. A leaving router owns nothing, unless all
+// routers are leaving.
 func (m members) owner(kind byte, name string) msg.RouterID {
 	var best msg.RouterID
 	var high uint64
-	h := mix(uint64(kind) ^ xxhash.Sum64String(name))
+	h := mix64(uint64(kind) ^ xxhash.Sum64String(name))
 	for _, x := range m.list {
 		if x.Leaving && !m.allLeaving {
 			continue
 		}
-		v := mix(h ^ xxhash.Sum64String(string(x.ID)))
+		v := mix64(h ^ xxhash.Sum64String(string(x.ID)))
 		if best == "" || v > high || (v == high && x.ID < best) {
 			best, high = x.ID, v
 		}
@@ -81,14 +82,14 @@
 	return best
 }
 
-// What rendezvous hashing gives out.
+// Kinds of names that rendezvous hashing assigns to routers.
 const (
-	ownServer byte = 's' // the admitting of a server
-	ownPool   byte = 'p' // the directory of a pool
+	ownerOfServer byte = 's' // the router that admits to a server
+	ownerOfPool   byte = 'p' // the router that keeps a pool's directory
 )
 
-// mix spreads the bits of a number (the finaliser of splitmix64).
-func mix(x uint64) uint64 {
+// mix64 spreads the bits of x (the finalizer of splitmix64).
+func mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/internal/core/share/merge.go
+++ b/internal/core/share/merge.go
@@ -7,35 +7,35 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// lasting is how many more merges a customer must wait at than not to count as
-// backlogged.
-const lasting = 2
-
-// mergeRoot adds up all that came since the last merge and sends the totals
-// down.
-func (t *tree) mergeRoot() {
-	t.touchOwn()
+// backlogMerges is how many more merges a customer must wait at than not, to
+// count as backlogged.
+const backlogMerges = 2
+
+// mergeAtRoot adds what was reported since the last merge to the totals, and
+// sends them down.
+func (t *tree) mergeAtRoot() {
+	t.addLocalCounters()
 	rec := t.newRecord()
-	d := &Down{Settings: max(t.settings, t.heard)}
+	d := &FleetTotals{SettingsVersion: max(t.settings, t.newestSettings)}
 	for _, id := range t.sortedPools() {
 		p := t.pools[id]
-		p.add(t, id)
-		p.settle()
-		if list := p.liveCounts(); len(list) > 0 {
+		p.addServed(t, id)
+		p.updateFloor()
+		if list := p.listedCounts(); len(list) > 0 {
 			d.Pools = append(d.Pools, packTotals(id, p.floor, list))
 		}
 	}
-	t.apply(d.Pools, &rec)
-	t.forward(d, rec.kids)
+	t.applyTotals(d.Pools, &rec)
+	t.forward(d, rec.childSeqs)
 }
 
-// add takes into the totals what was served since the last merge.
-func (p *treePool) add(t *tree, id msg.PoolID) {
+// addServed adds the service since the last merge to the totals.
+func (p *treePool) addServed(t *tree, id msg.PoolID) {
 	for hash, c := range p.counters {
-		v := t.value(id, hash, c)
+		v := t.servedInSubtree(id, hash, c)
 		c.slots = t.slotsOf(id, hash)
 		c.observe(c.slots > 0)
-		if !c.live {
+		if !c.listed {
 			c.total = p.floor
 		}
 		c.total += v - c.acked
@@ -43,25 +43,26 @@
 	}
 }
 
-// observe judges whether the customer is backlogged or waits by chance.
+// observe updates whether the customer is backlogged or waits only by chance.
 func (c *counter) observe(waits bool) {
 	if waits {
-		c.seen = min(c.seen+1, lasting)
+		c.waitScore = min(c.waitScore+1, backlogMerges)
 	} else {
-		c.seen = max(c.seen-1, 0)
+		c.waitScore = max(c.waitScore-1, 0)
 	}
-	if c.seen == 0 || c.seen == lasting {
-		c.long = c.seen == lasting
+	if c.waitScore == 0 || c.waitScore == backlogMerges {
+		c.backlogged = c.waitScore == backlogMerges
 	}
 }
 
-// settle raises the floor to the least total of the backlogged customers, and
-// drops those at or below it that are not backlogged: whoever comes back gets
-// the floor. With nobody backlogged there is nothing to be ahead of.
-func (p *treePool) settle() {
+// updateFloor raises the floor to the least total of the backlogged customers.
+// It unlists customers that are not backlogged and at or below the floor, since
+// a customer that returns starts at the floor anyway. If nobody is backlogged,
+// all are unlisted, as there is nobody to be ahead of.
+func (p *treePool) updateFloor() {
 	least, any := int64(0), false
 	for _, c := range p.counters {
-		if c.long && (!any || c.total < least) {
+		if c.backlogged && (!any || c.total < least) {
 			least, any = c.total, true
 		}
 	}
@@ -69,47 +70,47 @@
 		p.floor = least
 	}
 	for _, c := range p.counters {
-		c.live = c.long || (any && c.total > p.floor)
+		c.listed = c.backlogged || (any && c.total > p.floor)
 	}
 }
 
-func (p *treePool) liveCounts() []count {
-	var list []count
+func (p *treePool) listedCounts() []counterValue {
+	var list []counterValue
 	for hash, c := range p.counters {
-		if c.live {
-			list = append(list, count{hash, c.total - p.floor, c.slots})
+		if c.listed {
+			list = append(list, counterValue{hash, c.total - p.floor, c.slots})
 		}
 	}
 	return list
 }
 
-// down takes the parent's totals, and passes them on.
-func (t *tree) down(from msg.RouterID, incarnation uint64, d *Down) {
-	t.hear(d.Settings)
-	if from != t.parent || incarnation < t.parentInc || (t.parentInc == incarnation && d.Seq <= t.downSeq) {
+// handleTotals applies the parent's totals and forwards them.
+func (t *tree) handleTotals(from msg.RouterID, incarnation uint64, d *FleetTotals) {
+	t.noteSettingsVersion(d.SettingsVersion)
+	if from != t.parent || incarnation < t.parentIncarnation || (t.parentIncarnation == incarnation && d.Seq <= t.totalsSeq) {
 		return
 	}
-	restarted := t.parentInc != 0 && incarnation != t.parentInc
-	forgotten := t.base != 0 && d.Edge != t.edge
+	restarted := t.parentIncarnation != 0 && incarnation != t.parentIncarnation
+	forgotten := t.base != 0 && d.EdgeID != t.edgeID
 	if restarted || forgotten {
-		t.newEdge(incarnation)
+		t.resetEdge(incarnation)
 	}
-	t.parentInc, t.downSeq = incarnation, d.Seq
-	t.upAt = t.n.now + t.interval() - time.Duration(t.depth)*levelDelay
-	var rec *record
-	if d.Edge == t.edge {
-		t.acknowledge(d.Ack)
-		rec = t.recordOf(d.Included)
+	t.parentIncarnation, t.totalsSeq = incarnation, d.Seq
+	t.nextReportAt = t.n.now + t.interval() - time.Duration(t.depth)*levelStagger
+	var rec *reportRecord
+	if d.EdgeID == t.edgeID {
+		t.acknowledge(d.AckSeq)
+		rec = t.recordOf(d.IncludedSeq)
 	}
-	t.apply(d.Pools, rec)
-	kids := map[msg.RouterID]uint64{}
+	t.applyTotals(d.Pools, rec)
+	childSeqs := map[msg.RouterID]uint64{}
 	if rec != nil {
-		kids = rec.kids
+		childSeqs = rec.childSeqs
 	}
-	t.forward(d, kids)
+	t.forward(d, childSeqs)
 }
 
-// acknowledge moves the base of what is sent up.
+// acknowledge advances the base of the reports to an acknowledged one.
 func (t *tree) acknowledge(seq uint64) {
 	rec := t.recordOf(seq)
 	if rec == nil || seq <= t.base {
@@ -121,7 +122,7 @@
 	}
 }
 
-func (t *tree) recordOf(seq uint64) *record {
+func (t *tree) recordOf(seq uint64) *reportRecord {
 	for i := range t.records {
 		if t.records[i].seq == seq {
 			return &t.records[i]
@@ -131,87 +132,87 @@
 }
 
 // forward sends the totals to the children.
-func (t *tree) forward(d *Down, included map[msg.RouterID]uint64) {
-	t.merge++
-	for _, id := range t.kids {
-		out := &Down{Seq: t.merge, Pools: d.Pools, Settings: d.Settings}
+func (t *tree) forward(d *FleetTotals, included map[msg.RouterID]uint64) {
+	t.mergeSeq++
+	for _, id := range t.childIDs {
+		out := &FleetTotals{Seq: t.mergeSeq, Pools: d.Pools, SettingsVersion: d.SettingsVersion}
 		if c := t.children[id]; c != nil {
-			out.Edge, out.Ack, out.Included = c.edge, c.seq, included[id]
+			out.EdgeID, out.AckSeq, out.IncludedSeq = c.edgeID, c.seq, included[id]
 		}
-		t.n.to(id).Down = out
+		t.n.messageTo(id).FleetTotals = out
 	}
 }
 
-// apply puts the totals into the accounts. rec says what they include of this
-// router's own service; nil: not known.
-func (t *tree) apply(pools []PoolCount, rec *record) {
-	listed := map[*account]bool{}
-	live := map[*counter]bool{}
+// applyTotals copies the totals into the accounts. rec records the local
+// service that they include; nil: unknown.
+func (t *tree) applyTotals(pools []PoolCounters, rec *reportRecord) {
+	listedAccounts := map[*account]bool{}
+	listedCounters := map[*counter]bool{}
 	for _, pc := range pools {
 		p := t.pool(pc.Pool)
 		p.floor = max(p.floor, pc.Floor)
 		for i, x := range pc.totals() {
 			c := p.counter(x.hash)
 			if t.parent != "" {
-				c.total, c.slots, c.live = x.value, x.slots, true // the root's are exact
+				c.total, c.slots, c.listed = x.value, x.slots, true // the root's own totals are exact, these are rounded
 			}
-			live[c] = true
-			if a := t.own(pc.Pool, x.hash); a != nil {
-				listed[a] = true
-				a.merged(x, rec)
+			listedCounters[c] = true
+			if a := t.localAccount(pc.Pool, x.hash); a != nil {
+				listedAccounts[a] = true
+				a.applyMerge(x, rec)
 				a.rank = rankStep * float64(i)
 			}
 		}
 	}
-	t.forgetIdle(live)
-	t.resetWaited()
-	for _, p := range t.n.admit.order {
+	t.unlistCounters(listedCounters)
+	t.resetWaitedSinceMerge()
+	for _, p := range t.n.admit.poolsByID {
 		if tp := t.pools[p.id]; tp != nil {
 			p.floor = float64(tp.floor)
 		}
 		for _, a := range p.accounts {
-			a.active = listed[a]
+			a.active = listedAccounts[a]
 		}
 		for _, a := range p.heap {
-			a.key = a.order()
+			a.key = a.sortKey()
 		}
 		heap.Init(&p.heap)
 	}
 }
 
-// merged takes a merge's total.
-func (a *account) merged(c count, rec *record) {
-	a.total, a.slots = float64(c.value), c.slots
+// applyMerge applies the customer's total of a merge.
+func (a *account) applyMerge(c counterValue, rec *reportRecord) {
+	a.mergedTotal, a.slots = float64(c.value), c.slots
 	if rec == nil {
 		return
 	}
-	if own, ok := rec.own[a]; ok {
-		a.included = own
+	if own, ok := rec.localServed[a]; ok {
+		a.localMerged = own
 	}
 }
 
-// forgetIdle marks the counters that the totals no longer list.
-func (t *tree) forgetIdle(live map[*counter]bool) {
+// unlistCounters marks the counters that are no longer in the totals.
+func (t *tree) unlistCounters(listed map[*counter]bool) {
 	for _, p := range t.pools {
 		for _, c := range p.counters {
-			if !live[c] {
-				c.live, c.slots = false, 0
+			if !listed[c] {
+				c.listed, c.slots = false, 0
 			}
 		}
 	}
 }
 
-// accountIdle is how long the account of a customer that does not come is kept.
-const accountIdle = 10 * time.Minute
+// accountExpiry is how long the account of an inactive customer is kept.
+const accountExpiry = 10 * time.Minute
 
-// forgetIdleAccounts drops accounts long unused. What they have served stays in
-// the counters.
+// forgetIdleAccounts deletes accounts that have long been unused. Their service
+// stays in the counters.
 func (t *tree) forgetIdleAccounts(p *admitPool) {
 	for id, a := range p.accounts {
-		if len(a.regs) > 0 || a.active || a.waited || t.n.now-a.usedAt < accountIdle {
+		if len(a.regs) > 0 || a.active || a.waitedSinceMerge || t.n.now-a.usedAt < accountExpiry {
 			continue
 		}
-		t.pool(p.id).counter(a.hash).below += int64(a.own)
+		t.pool(p.id).counter(a.hash).fromChildren += int64(a.localServed)
 		delete(p.accounts, id)
 		delete(p.byHash, a.hash)
 	}
--- a/internal/core/share/node.go
+++ b/internal/core/share/node.go
@@ -7,25 +7,25 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Node is one router's part in the sharing.
+// Node is one router's part in the sharing of slots.
 type Node struct {
-	cfg       Config
-	now       time.Duration
-	members   members
-	servers   []msg.ServerID
-	addrs     map[msg.ServerID]Addr
-	entry     entry
-	admit     admitter
-	directory directory
-	tree      tree
-	seq       uint64
-	outbox    map[msg.RouterID]*Message
-	order     []msg.RouterID // of the outbox, for equal runs
-	local     []*Message     // to this router itself
-	ready     Ready
-}
-
-// New returns a Node that knows no member but itself.
+	cfg           Config
+	now           time.Duration
+	members       members
+	servers       []msg.ServerID
+	addrs         map[msg.ServerID]Addr
+	entry         entry
+	admit         admitter
+	directory     directory
+	tree          tree
+	seq           uint64
+	outbox        map[msg.RouterID]*Message
+	outboxOrder   []msg.RouterID // keys of outbox in order of insertion, so that runs are deterministic
+	localMessages []*Message     // addressed to this router itself
+	ready         Ready
+}
+
+// New returns a Node whose only member is itself.
 func New(cfg Config) *Node {
 	cfg = cfg.withDefaults()
 	n := &Node{cfg: cfg, outbox: map[msg.RouterID]*Message{}}
@@ -41,45 +41,45 @@
 	return Member{ID: n.cfg.ID, Incarnation: n.cfg.Incarnation, DataCentre: n.cfg.DataCentre}
 }
 
-// advance takes the time, which never goes back within a Node.
+// advance sets the time, which never goes back within a Node.
 func (n *Node) advance(now time.Duration) {
 	n.now = max(n.now, now)
 }
 
-// Arrive takes a request that waits for a slot. The answer comes as a Start or
-// Refuse, perhaps at once.
+// Arrive adds a request that waits for a slot. The result is a Start or a
+// Refusal, possibly at once.
 func (n *Node) Arrive(now time.Duration, r Request) {
 	n.advance(now)
 	n.entry.arrive(r)
-	n.settle()
+	n.process()
 }
 
-// Cancel forgets a waiting request. A started one is ended with End.
+// Cancel removes a waiting request. Started requests are ended with End.
 func (n *Node) Cancel(now time.Duration, id msg.RequestID) {
 	n.advance(now)
 	n.entry.cancel(id)
-	n.settle()
+	n.process()
 }
 
-// Progress says what a started request has cost so far.
+// Progress reports what a started request has cost so far.
 func (n *Node) Progress(now time.Duration, id msg.RequestID, cost msg.Cost) {
 	n.advance(now)
 	n.entry.progress(id, cost)
 }
 
-// End gives a started request's slot back. A second End is ignored.
+// End returns the slot of a started request. Repeated calls are ignored.
 func (n *Node) End(now time.Duration, id msg.RequestID, r Result) {
 	n.advance(now)
 	n.entry.end(id, r)
-	n.settle()
+	n.process()
 }
 
-// SetMembers replaces the live routers; this router is always among them. An
-// unchanged list costs next to nothing.
+// SetMembers replaces the set of live routers, which always includes this one.
+// Setting an unchanged list is cheap.
 func (n *Node) SetMembers(now time.Duration, list []Member) {
 	n.advance(now)
 	list = withSelf(list, n.self())
-	if n.members.same(list) {
+	if n.members.equal(list) {
 		return
 	}
 	n.members = newMembers(list)
@@ -87,11 +87,11 @@
 	n.entry.membersChanged()
 	n.directory.membersChanged()
 	n.tree.membersChanged()
-	n.settle()
+	n.process()
 }
 
-// SetServers replaces the backend servers that may be given new work. A router
-// that drains sets none.
+// SetServers replaces the set of backend servers that may be given new
+// requests. A draining router sets none.
 func (n *Node) SetServers(now time.Duration, list []msg.ServerID) {
 	n.advance(now)
 	if slices.Equal(n.servers, list) {
@@ -99,128 +99,129 @@
 	}
 	n.servers = append([]msg.ServerID(nil), list...)
 	n.admit.assign()
-	n.settle()
+	n.process()
 }
 
-// SetAddrs replaces the addresses that grants carry.
+// SetAddrs replaces the server addresses that grants carry.
 func (n *Node) SetAddrs(addrs map[msg.ServerID]Addr) { n.addrs = addrs }
 
-// Load takes a server's load report. Reports of servers that this router does
-// not admit to are ignored.
-func (n *Node) Load(now time.Duration, r LoadReport) {
+// HandleLoadReport applies a server's load report. Reports of servers that this
+// router does not admit to are ignored.
+func (n *Node) HandleLoadReport(now time.Duration, r LoadReport) {
 	n.advance(now)
-	n.admit.load(r)
-	n.settle()
+	n.admit.handleLoadReport(r)
+	n.process()
 }
 
-// SetSettings says which version of the settings is in force here.
-func (n *Node) SetSettings(now time.Duration, version uint64) {
+// SetSettingsVersion reports which version of the settings is in force here.
+func (n *Node) SetSettingsVersion(now time.Duration, version uint64) {
 	n.advance(now)
 	n.tree.settings = max(n.tree.settings, version)
 }
 
-// Step takes a message of another router.
-func (n *Node) Step(now time.Duration, from msg.RouterID, m *Message) {
+// HandleMessage applies a message of another router.
+func (n *Node) HandleMessage(now time.Duration, from msg.RouterID, m *Message) {
 	n.advance(now)
-	n.step(from, m)
-	n.settle()
+	n.apply(from, m)
+	n.process()
 }
 
-// Tick lets time pass. The shell calls it every 5 to 10 milliseconds.
+// Tick advances the time and runs what is due. The shell calls it every 5 to 10
+// milliseconds.
 func (n *Node) Tick(now time.Duration) {
 	n.advance(now)
 	n.admit.tick()
 	n.entry.tick()
 	n.directory.tick()
 	n.tree.tick()
-	n.settle()
+	n.process()
 }
 
-// Ready returns what there is to do, and forgets it.
+// Ready returns the pending actions and clears them.
 func (n *Node) Ready() Ready {
-	for _, to := range n.order {
+	for _, to := range n.outboxOrder {
 		n.ready.Send = append(n.ready.Send, Outgoing{To: to, Message: n.outbox[to]})
 		delete(n.outbox, to)
 	}
-	n.order = n.order[:0]
+	n.outboxOrder = n.outboxOrder[:0]
 	r := n.ready
 	n.ready = Ready{}
 	return r
 }
 
-// step applies one message, part by part.
-func (n *Node) step(from msg.RouterID, m *Message) {
-	if !n.admit.entrySeen(from, m) {
+// apply applies each part of a message.
+func (n *Node) apply(from msg.RouterID, m *Message) {
+	if !n.admit.noteEntry(from, m) {
 		return
 	}
-	if m.Of == n.cfg.Incarnation {
-		for _, e := range m.Ends {
-			n.admit.end(from, e)
+	if m.ReceiverIncarnation == n.cfg.Incarnation {
+		for _, r := range m.Releases {
+			n.admit.handleRelease(from, r)
 		}
-		if m.Held != nil {
-			n.admit.held(from, m)
+		if m.KeepAlive != nil {
+			n.admit.handleKeepAlive(from, m)
 		}
 	}
-	for _, w := range m.Waits {
-		n.admit.wait(from, m, w)
+	for _, r := range m.Registrations {
+		n.admit.handleRegistration(from, m, r)
 	}
-	for _, h := range m.Haves {
-		n.directory.have(from, m.Incarnation, h)
+	for _, c := range m.Capacities {
+		n.directory.handleCapacity(from, m.Incarnation, c)
 	}
-	for _, a := range m.Asks {
-		n.directory.ask(from, a)
+	for _, d := range m.Demands {
+		n.directory.handleDemand(from, d)
 	}
-	for _, a := range m.Admitters {
-		n.entry.admitters(a)
+	for _, list := range m.AdmitterLists {
+		n.entry.handleAdmitterList(list)
 	}
-	for _, num := range m.Forgot {
-		n.entry.forgot(from, num)
+	for _, num := range m.UnknownQueues {
+		n.entry.handleUnknownQueue(from, num)
 	}
-	if m.Of == 0 || m.Of == n.cfg.Incarnation {
+	if m.ReceiverIncarnation == 0 || m.ReceiverIncarnation == n.cfg.Incarnation {
 		for _, g := range m.Grants {
-			n.entry.grant(from, m.Incarnation, g)
+			n.entry.handleGrant(from, m.Incarnation, g)
 		}
 	}
 	for _, o := range m.Offers {
-		n.entry.offer(o)
+		n.entry.handleOffer(o)
 	}
-	if m.Up != nil {
-		n.tree.up(from, m.Incarnation, m.Up)
+	if m.ServiceReport != nil {
+		n.tree.handleReport(from, m.Incarnation, m.ServiceReport)
 	}
-	if m.Down != nil {
-		n.tree.down(from, m.Incarnation, m.Down)
+	if m.FleetTotals != nil {
+		n.tree.handleTotals(from, m.Incarnation, m.FleetTotals)
 	}
 }
 
-// settle grants what can be granted and applies what this router has told
-// itself, until nothing is left.
-func (n *Node) settle() {
+// process grants slots and applies this router's messages to itself until
+// nothing is left to do.
+func (n *Node) process() {
 	for {
-		n.entry.sync()
+		n.entry.syncRegistrations()
 		n.admit.grantAll()
-		if len(n.local) == 0 {
+		if len(n.localMessages) == 0 {
 			return
 		}
-		list := n.local
-		n.local = nil
+		list := n.localMessages
+		n.localMessages = nil
 		for _, m := range list {
-			n.step(n.cfg.ID, m)
+			n.apply(n.cfg.ID, m)
 		}
 	}
 }
 
-// to returns the message under way to a router, to add parts to.
-func (n *Node) to(id msg.RouterID) *Message {
+// messageTo returns the pending message to a router, to add parts to.
+func (n *Node) messageTo(id msg.RouterID) *Message {
 	if id == n.cfg.ID {
 		m := n.newMessage()
-		n.local = append(n.local, m)
+		n.localMessages = append(n.localMessages, m)
 		return m
 	}
 	m, ok := n.outbox[id]
 	if !ok {
 		m = n.newMessage()
 		n.outbox[id] = m
-		n.order = append(n.order, id)
+		n.outboxOrder = append(n.outboxOrder, id)
 	}
 	return m
 }
@@ -229,7 +230,7 @@
 	return &Message{Incarnation: n.cfg.Incarnation}
 }
 
-// SetQueueLimits replaces the limits on all waiting requests of the router.
+// SetQueueLimits replaces the limits on the router's waiting requests.
 func (n *Node) SetQueueLimits(bytes int64, requests int) {
 	n.cfg.QueueBytes, n.cfg.QueueRequests = bytes, requests
 }
--- a/internal/core/share/node_test.go
+++ b/internal/core/share/node_test.go
@@ -39,7 +39,7 @@
 	assert.Equal(t, r.starts, 1)
 }
 
-func TestRequestWithCapacityFreeStartsInARoundTrip(t *testing.T) {
+func TestRequestStartsWithinARoundTripIfASlotIsFree(t *testing.T) {
 	f := smallFleet(8, 8)
 	for i, id := range f.ids {
 		r := request(fmt.Sprint(i), "a", 10, id)
@@ -62,7 +62,7 @@
 		assert.Equal(t, r.starts, 1, "%s", r.ID)
 		assert.Assert(t, r.ended)
 	}
-	assert.Equal(t, f.over, 0)
+	assert.Equal(t, f.overSlots, 0)
 }
 
 func TestUnknownPoolIsRefused(t *testing.T) {
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestConcurrencyLimitHoldsAtTheEntry(t *testing.T) {
+func TestEntryEnforcesConcurrencyLimit(t *testing.T) {
 	f := smallFleet(2, 2)
 	for i := range 6 {
 		r := request(fmt.Sprint(i), "a", 100, "r0")
--- a/internal/core/share/pack.go
+++ b/internal/core/share/pack.go
@@ -7,49 +7,49 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// count is one customer's counter in a message.
-type count struct {
+// counterValue is a customer's counter in a message.
+type counterValue struct {
 	hash  uint64
 	value int64
-	slots int // of the admitters where the customer waits
+	slots int // of all admitters where the customer waits
 }
 
-// Counters and slots in totals are sent in units in which the greatest has
-// two bytes and one: the error is below a thousandth of the largest
-// difference, and does not add up.
+// Counters and slots in totals are scaled so that the largest is encoded in two
+// bytes and in one byte. The rounding error is below a thousandth of the
+// largest difference, and does not accumulate.
 const (
-	maxCounter = 1<<13 - 1
-	maxSlots   = 1<<7 - 1
+	maxPackedCounter = 1<<13 - 1
+	maxPackedSlots   = 1<<7 - 1
 )
 
-// packTotals writes the pool's totals, relative to its floor.
-func packTotals(pool msg.PoolID, floor int64, list []count) PoolCount {
-	pc := PoolCount{Pool: pool, Floor: floor, Unit: 1, Slots: 1}
+// packTotals encodes the pool's totals, relative to its floor.
+func packTotals(pool msg.PoolID, floor int64, list []counterValue) PoolCounters {
+	pc := PoolCounters{Pool: pool, Floor: floor, CounterUnit: 1, SlotUnit: 1}
 	for _, c := range list {
-		pc.Unit = max(pc.Unit, (max(c.value, -c.value)+maxCounter-1)/maxCounter)
-		pc.Slots = max(pc.Slots, (c.slots+maxSlots-1)/maxSlots)
+		pc.CounterUnit = max(pc.CounterUnit, (max(c.value, -c.value)+maxPackedCounter-1)/maxPackedCounter)
+		pc.SlotUnit = max(pc.SlotUnit, (c.slots+maxPackedSlots-1)/maxPackedSlots)
 	}
 	for i := range list {
-		list[i].value /= pc.Unit
-		list[i].slots = (list[i].slots + pc.Slots - 1) / pc.Slots
+		list[i].value /= pc.CounterUnit
+		list[i].slots = (list[i].slots + pc.SlotUnit - 1) / pc.SlotUnit
 	}
-	pc.Data = pack(list)
+	pc.PackedCounters = pack(list)
 	return pc
 }
 
-// totals reads what packTotals wrote.
-func (pc PoolCount) totals() []count {
-	list := unpack(pc.Data)
+// totals decodes the result of packTotals.
+func (pc PoolCounters) totals() []counterValue {
+	list := unpack(pc.PackedCounters)
 	for i := range list {
-		list[i].value = pc.Floor + list[i].value*max(1, pc.Unit)
-		list[i].slots *= max(1, pc.Slots)
+		list[i].value = pc.Floor + list[i].value*max(1, pc.CounterUnit)
+		list[i].slots *= max(1, pc.SlotUnit)
 	}
 	return list
 }
 
-// pack writes the counts in the order of their hashes, each hash as the
-// difference to the one before.
-func pack(list []count) []byte {
+// pack encodes the counters in the order of their hashes, each hash as the
+// difference from the previous one.
+func pack(list []counterValue) []byte {
 	sort.Slice(list, func(i, j int) bool { return list[i].hash < list[j].hash })
 	var b []byte
 	var last uint64
@@ -62,9 +62,9 @@
 	return b
 }
 
-// unpack reads what pack wrote, as far as it is well-formed.
-func unpack(b []byte) []count {
-	var list []count
+// unpack decodes the result of pack, up to the first malformed counter.
+func unpack(b []byte) []counterValue {
+	var list []counterValue
 	var last uint64
 	for len(b) > 0 {
 		hash, n := binary.Uvarint(b)
@@ -80,7 +80,7 @@
 			return list
 		}
 		last += hash
-		list = append(list, count{hash: last, value: value, slots: int(slots)})
+		list = append(list, counterValue{hash: last, value: value, slots: int(slots)})
 		b = b[n+k+l:]
 	}
 	return list
--- a/internal/core/share/queue.go
+++ b/internal/core/share/queue.go
@@ -7,37 +7,37 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Times and sizes of the entry side.
+// Limits and intervals of the entry.
 const (
-	minSpread     = 4                      // admitters a lasting wait is registered with, at least
-	waitRefresh   = 15 * time.Second       // a registration is repeated
-	avoidFor      = 500 * time.Millisecond // a wait this long takes avoided servers too
-	queueIdle     = time.Minute            // an empty queue is forgotten
-	confirmAfter  = 50 * time.Millisecond  // a grant is confirmed
-	repeatAfter   = 100 * time.Millisecond // an end is repeated
-	retryAfterMin = time.Second
-	retryAfterMax = 30 * time.Second
+	minAdmitters        = 4                      // least number of admitters that a long wait is registered with
+	registrationRefresh = 15 * time.Second       // interval at which registrations are repeated
+	avoidTimeout        = 500 * time.Millisecond // after this wait, a request takes avoided servers too
+	queueExpiry         = time.Minute            // an empty queue is deleted after this time
+	confirmDelay        = 50 * time.Millisecond  // time until a grant is confirmed
+	releaseRepeatDelay  = 100 * time.Millisecond // time until a release is repeated
+	retryAfterMin       = time.Second
+	retryAfterMax       = 30 * time.Second
 )
 
 // entry holds the waiting and running requests of this router's callers.
 type entry struct {
-	n         *Node
-	waiting   map[msg.RequestID]*waiter
-	running   map[msg.RequestID]*run
-	queues    map[queueKey]*queue
-	byNum     map[uint64]*queue
-	list      []*queue // all, by number
-	active    []*queue // with requests waiting; some may have none left
-	dirty     []*queue
-	customers map[msg.CustomerID]*entryCustomer
-	pools     map[msg.PoolID]*entryPool
-	poolList  []*entryPool // in the order they were met
-	peers     map[msg.RouterID]*peer
-	bytes     int64
-	lastNum   uint64
-	picks     uint64
-	due       []*peer // to be sent a keep-alive
-	sweepAt   time.Duration
+	n             *Node
+	waiting       map[msg.RequestID]*waiter
+	running       map[msg.RequestID]*runningRequest
+	queues        map[queueKey]*queue
+	byNum         map[uint64]*queue
+	allQueues     []*queue // sorted by number
+	active        []*queue // have waiting requests, or had when last checked
+	dirty         []*queue
+	customers     map[msg.CustomerID]*entryCustomer
+	pools         map[msg.PoolID]*entryPool
+	poolList      []*entryPool // in the order of creation
+	peers         map[msg.RouterID]*admitterPeer
+	bytes         int64
+	lastNum       uint64
+	pickCount     uint64
+	keepAlivesDue []*admitterPeer // admitters with a scheduled keep-alive
+	sweepAt       time.Duration
 }
 
 type queueKey struct {
@@ -46,49 +46,49 @@
 	avoid    string
 }
 
-// queue is one customer's waiting requests for one pool, oldest first.
+// queue holds one customer's waiting requests for one pool, oldest first.
 type queue struct {
-	num        uint64
-	key        queueKey
-	pool       *entryPool
-	customer   *entryCustomer
-	weight     float64
-	avoid      []msg.ServerID
-	reqs       []*waiter // the given up are removed lazily
-	size       int       // those still waiting
-	told       map[msg.RouterID]*told
-	start      int           // index in the pool's admitters of the first told
-	spread     int           // how many admitters are told
-	slots      int           // of those told
-	spreadAt   time.Duration // when it was last widened
-	widenAfter time.Duration
-	usedAt     time.Duration
-	dirty      bool
-	listed     bool // in the entry's active queues
-}
-
-// told is what an admitter was last told of a queue.
-type told struct {
-	count  int // less the grants received since
-	at     time.Duration
-	weight float64
-	known  bool // the admitter has granted to the queue, so it knows what it is
+	num           uint64
+	key           queueKey
+	pool          *entryPool
+	customer      *entryCustomer
+	weight        float64
+	avoid         []msg.ServerID
+	reqs          []*waiter // removed requests are dropped lazily
+	size          int       // requests not removed
+	registrations map[msg.RouterID]*sentRegistration
+	firstAdmitter int           // index in pool.admitters of the first admitter with a registration
+	admitterCount int           // number of admitters with a registration
+	admitterSlots int           // total slots of those admitters
+	widenedAt     time.Duration // when admitterCount was last set or raised
+	widenDelay    time.Duration
+	usedAt        time.Duration
+	dirty         bool
+	inActive      bool // contained in entry.active
+}
+
+// sentRegistration is what an admitter was last told about a queue.
+type sentRegistration struct {
+	count       int // less the grants received since then
+	at          time.Duration
+	weight      float64
+	established bool // the admitter has granted to the queue, so it has the registration
 }
 
 type waiter struct {
-	req   Request
-	queue *queue
-	at    time.Duration
-	gone  bool
+	req     Request
+	queue   *queue
+	at      time.Duration
+	removed bool
 }
 
-// run is a request that runs in a granted slot.
-type run struct {
-	customer *entryCustomer
-	admitter msg.RouterID
-	of       uint64 // the admitter's incarnation
-	seq      uint64
-	cost     msg.Cost
+// runningRequest is a request that runs in a granted slot.
+type runningRequest struct {
+	customer            *entryCustomer
+	admitter            msg.RouterID
+	admitterIncarnation uint64
+	seq                 uint64
+	cost                msg.Cost
 }
 
 // entryCustomer counts a customer's requests at this entry.
@@ -97,31 +97,31 @@
 	limits           Limits
 	queues           []*queue
 	grantedAt        time.Duration
-	gap              mean // seconds between two grants while requests wait
+	grantGap         runningMean // seconds between two grants while requests wait
 }
 
-// peer is an admitter as this entry knows it.
-type peer struct {
-	id          msg.RouterID
-	incarnation uint64
-	seen        uint64 // highest grant received
-	void        uint64 // grants up to this one that are not held are void
-	got         map[uint64]bool
-	held        map[uint64]*run
-	ended       []End         // sent since the last keep-alive, which repeats them
-	dueAt       time.Duration // of the next keep-alive; 0: none
+// admitterPeer is an entry's state of an admitter.
+type admitterPeer struct {
+	id           msg.RouterID
+	incarnation  uint64
+	highestGrant uint64 // highest sequence number received
+	voidUpTo     uint64 // grants up to this one that are not held are void
+	received     map[uint64]bool
+	held         map[uint64]*runningRequest
+	sentReleases []Release     // sent since the last keep-alive, which repeats them
+	keepAliveAt  time.Duration // time of the next keep-alive; 0: none scheduled
 }
 
 func newEntry(n *Node) entry {
 	return entry{
 		n:         n,
 		waiting:   map[msg.RequestID]*waiter{},
-		running:   map[msg.RequestID]*run{},
+		running:   map[msg.RequestID]*runningRequest{},
 		queues:    map[queueKey]*queue{},
 		byNum:     map[uint64]*queue{},
 		customers: map[msg.CustomerID]*entryCustomer{},
 		pools:     map[msg.PoolID]*entryPool{},
-		peers:     map[msg.RouterID]*peer{},
+		peers:     map[msg.RouterID]*admitterPeer{},
 	}
 }
 
@@ -152,13 +152,13 @@
 	q.size++
 	q.pool.waiting++
 	c.waiting++
-	if !q.listed {
-		q.listed = true
+	if !q.inActive {
+		q.inActive = true
 		e.active = append(e.active, q)
 	}
 	e.bytes += int64(w.req.Bytes)
 	e.waiting[w.req.ID] = w
-	e.touch(q)
+	e.markDirty(q)
 }
 
 func (e *entry) customer(id msg.CustomerID) *entryCustomer {
@@ -170,8 +170,8 @@
 	return c
 }
 
-// queue returns the request's queue. Requests that avoid servers have queues
-// of their own, so that an admitter knows what it may grant them.
+// queue returns the request's queue. Requests that avoid servers have separate
+// queues, so that an admitter knows which servers it may grant them.
 func (e *entry) queue(c *entryCustomer, r Request, avoid []msg.ServerID) *queue {
 	key := queueKey{pool: r.Pool, customer: r.Customer, avoid: joinServers(avoid)}
 	q, ok := e.queues[key]
@@ -179,11 +179,11 @@
 		e.lastNum++
 		q = &queue{
 			num: e.lastNum, key: key, pool: e.pool(r.Pool), customer: c,
-			avoid: avoid, told: map[msg.RouterID]*told{},
+			avoid: avoid, registrations: map[msg.RouterID]*sentRegistration{},
 		}
 		e.queues[key] = q
 		e.byNum[q.num] = q
-		e.list = append(e.list, q)
+		e.allQueues = append(e.allQueues, q)
 		c.queues = append(c.queues, q)
 	}
 	q.weight = r.Weight
@@ -203,33 +203,34 @@
 	return b.String()
 }
 
-func (e *entry) touch(q *queue) {
+func (e *entry) markDirty(q *queue) {
 	if !q.dirty {
 		q.dirty = true
 		e.dirty = append(e.dirty, q)
 	}
 }
 
-// touchAll marks the customer's queues, whose concurrency limit they share.
-func (e *entry) touchAll(c *entryCustomer) {
+// markAllDirty marks all of the customer's queues, as they share its
+// concurrency limit.
+func (e *entry) markAllDirty(c *entryCustomer) {
 	for _, q := range c.queues {
-		e.touch(q)
+		e.markDirty(q)
 	}
 }
 
-// leave takes a request out of its queue.
-func (e *entry) leave(w *waiter) {
-	w.gone = true
+// dequeue removes a request from its queue.
+func (e *entry) dequeue(w *waiter) {
+	w.removed = true
 	w.queue.size--
 	w.queue.pool.waiting--
 	w.queue.customer.waiting--
 	e.bytes -= int64(w.req.Bytes)
 	delete(e.waiting, w.req.ID)
-	e.touch(w.queue)
+	e.markDirty(w.queue)
 }
 
-func (q *queue) trim() {
-	for len(q.reqs) > 0 && q.reqs[0].gone {
+func (q *queue) dropRemoved() {
+	for len(q.reqs) > 0 && q.reqs[0].removed {
 		q.reqs[0] = nil
 		q.reqs = q.reqs[1:]
 	}
@@ -237,14 +238,15 @@
 
 // head returns the oldest waiting request, or nil.
 func (q *queue) head() *waiter {
-	q.trim()
+	q.dropRemoved()
 	if len(q.reqs) == 0 {
 		return nil
 	}
 	return q.reqs[0]
 }
 
-// eligible is how many requests could run now.
+// eligible returns how many requests may run under the customer's concurrency
+// limit.
 func (q *queue) eligible() int {
 	limit := q.customer.limits.Concurrency
 	if limit == 0 {
@@ -255,25 +257,26 @@
 
 func (e *entry) cancel(id msg.RequestID) {
 	if w := e.waiting[id]; w != nil {
-		e.leave(w)
+		e.dequeue(w)
 	}
 }
 
 func (e *entry) refuse(c *entryCustomer, id msg.RequestID, why Reason) {
-	e.n.ready.Refuse = append(e.n.ready.Refuse, Refuse{Request: id, Reason: why, RetryAfter: c.retryAfter()})
+	e.n.ready.Refuse = append(e.n.ready.Refuse, Refusal{Request: id, Reason: why, RetryAfter: c.retryAfter()})
 }
 
-// retryAfter is the time in which half of the customer's queue will be served,
-// at the pace of late.
+// retryAfter returns the time in which half of the customer's queue will be
+// served at the current rate.
 func (c *entryCustomer) retryAfter() time.Duration {
-	d := time.Duration(c.gap.value * float64(c.waiting) / 2 * float64(time.Second))
+	d := time.Duration(c.grantGap.value * float64(c.waiting) / 2 * float64(time.Second))
 	return min(max(d, retryAfterMin), retryAfterMax).Truncate(time.Second)
 }
 
-// paced notes a grant to a customer that has more requests waiting.
-func (c *entryCustomer) paced(now time.Duration) {
+// recordGrant updates the mean time between grants if the customer has more
+// requests waiting.
+func (c *entryCustomer) recordGrant(now time.Duration) {
 	if c.waiting > 0 && c.grantedAt > 0 {
-		c.gap.add((now - c.grantedAt).Seconds())
+		c.grantGap.add((now - c.grantedAt).Seconds())
 	}
 	c.grantedAt = now
 }
@@ -291,96 +294,97 @@
 	}
 	delete(e.running, id)
 	r.customer.running--
-	e.touchAll(r.customer)
+	e.markAllDirty(r.customer)
 	p := e.peers[r.admitter]
-	if p == nil || p.incarnation != r.of {
+	if p == nil || p.incarnation != r.admitterIncarnation {
 		return
 	}
 	delete(p.held, r.seq)
-	e.sendEnd(p, endOf(r.seq, res))
+	e.sendRelease(p, releaseOf(r.seq, res))
 }
 
-func endOf(seq uint64, res Result) End {
-	end := End{Seq: seq, Cost: res.Cost, First: millis(res.First), Total: millis(res.Total)}
+func releaseOf(seq uint64, res Result) Release {
+	release := Release{Seq: seq, Cost: res.Cost, FirstTokenMs: millis(res.First), TotalMs: millis(res.Total)}
 	if res.Busy {
-		end.Flags |= endBusy
+		release.Flags |= releaseOverloaded
 	}
 	if res.Leaving {
-		end.Flags |= endLeaving
+		release.Flags |= releaseLeaving
 	}
 	if res.Unused && !res.Busy && !res.Leaving {
-		end.Flags |= endReturned
+		release.Flags |= releaseUnused
 	}
-	return end
+	return release
 }
 
-// millis rounds up, so that only no time at all is 0.
+// millis returns d in milliseconds, rounded up so that 0 means no time at all.
 func millis(d time.Duration) uint32 {
 	return uint32((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-func (e *entry) sendEnd(p *peer, end End) {
-	if m := e.n.to(p.id); m.about(p.incarnation) {
-		m.Ends = append(m.Ends, end)
+func (e *entry) sendRelease(p *admitterPeer, release Release) {
+	if m := e.n.messageTo(p.id); m.addressTo(p.incarnation) {
+		m.Releases = append(m.Releases, release)
 	}
-	p.ended = append(p.ended, end)
-	e.keepBy(p, e.n.now+repeatAfter)
+	p.sentReleases = append(p.sentReleases, release)
+	e.scheduleKeepAlive(p, e.n.now+releaseRepeatDelay)
 }
 
-// peerOf returns what is known of an admitter, forgetting an earlier
-// incarnation. It is nil if the message itself is of an earlier one.
-func (e *entry) peerOf(id msg.RouterID, incarnation uint64) *peer {
+// peerOf returns the state of an admitter's given incarnation and discards that
+// of an earlier one. It returns nil if a later incarnation is known.
+func (e *entry) peerOf(id msg.RouterID, incarnation uint64) *admitterPeer {
 	p := e.peers[id]
 	if p != nil && p.incarnation > incarnation {
 		return nil
 	}
 	if p == nil || p.incarnation < incarnation {
-		p = &peer{id: id, incarnation: incarnation, got: map[uint64]bool{}, held: map[uint64]*run{}}
+		p = &admitterPeer{id: id, incarnation: incarnation, received: map[uint64]bool{}, held: map[uint64]*runningRequest{}}
 		e.peers[id] = p
-		e.untell(id)
+		e.forgetRegistrations(id)
 	}
 	return p
 }
 
-// untell forgets what a restarted or gone admitter was told.
-func (e *entry) untell(id msg.RouterID) {
-	for _, q := range e.list {
-		if q.told[id] != nil {
-			delete(q.told, id)
-			e.touch(q)
+// forgetRegistrations discards the registrations with an admitter that is gone
+// or has restarted.
+func (e *entry) forgetRegistrations(id msg.RouterID) {
+	for _, q := range e.allQueues {
+		if q.registrations[id] != nil {
+			delete(q.registrations, id)
+			e.markDirty(q)
 		}
 	}
 }
 
-// grant takes a slot for a queue: it starts the oldest request, or returns the
-// slot if there is none.
-func (e *entry) grant(from msg.RouterID, incarnation uint64, g Grant) {
+// handleGrant starts the queue's oldest request in the granted slot, or returns
+// the slot if no request is eligible.
+func (e *entry) handleGrant(from msg.RouterID, incarnation uint64, g Grant) {
 	p := e.peerOf(from, incarnation)
 	if p == nil {
 		return
 	}
-	e.keepBy(p, e.n.now+confirmAfter)
-	if p.got[g.Seq] || g.Seq <= p.void {
+	e.scheduleKeepAlive(p, e.n.now+confirmDelay)
+	if p.received[g.Seq] || g.Seq <= p.voidUpTo {
 		return
 	}
-	p.got[g.Seq] = true
-	p.seen = max(p.seen, g.Seq)
-	q := e.byNum[g.Queue]
+	p.received[g.Seq] = true
+	p.highestGrant = max(p.highestGrant, g.Seq)
+	q := e.byNum[g.QueueID]
 	if q == nil || q.eligible() == 0 {
-		e.sendEnd(p, End{Seq: g.Seq, Flags: endReturned})
+		e.sendRelease(p, Release{Seq: g.Seq, Flags: releaseUnused})
 		return
 	}
-	if t := q.told[from]; t != nil {
+	if t := q.registrations[from]; t != nil {
 		t.count = max(0, t.count-1)
-		t.known = true
+		t.established = true
 	}
-	q.pool.granted(from)
+	q.pool.noteGrant(from)
 	w := q.head()
-	e.leave(w)
-	r := &run{customer: q.customer, admitter: from, of: incarnation, seq: g.Seq}
+	e.dequeue(w)
+	r := &runningRequest{customer: q.customer, admitter: from, admitterIncarnation: incarnation, seq: g.Seq}
 	q.customer.running++
-	q.customer.paced(e.n.now)
-	e.touchAll(q.customer)
+	q.customer.recordGrant(e.n.now)
+	e.markAllDirty(q.customer)
 	e.running[w.req.ID] = r
 	p.held[g.Seq] = r
 	e.n.ready.Start = append(e.n.ready.Start, Start{Request: w.req.ID, Server: g.Server, Addr: g.Addr})
--- a/internal/core/share/reconnect.go
+++ b/internal/core/share/reconnect.go
@@ -6,44 +6,45 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Reconnected says that the link to a router works anew. Messages may have been
-// lost, so what the router needs to know is told again at once rather than
-// when it is next due.
-func (n *Node) Reconnected(now time.Duration, peer msg.RouterID) {
+// HandleReconnect reports that the link to a router was re-established.
+// Messages may have been lost, so the Node sends what the peer needs at once
+// instead of at the next regular time.
+func (n *Node) HandleReconnect(now time.Duration, peer msg.RouterID) {
 	n.advance(now)
 	n.entry.reconnected(peer)
 	n.admit.reconnected(peer)
-	n.settle()
+	n.process()
 }
 
-// reconnected registers what waits again, and says soon which grants are held.
+// reconnected repeats the registrations and demands that the peer needs, and
+// schedules a keep-alive at once.
 func (e *entry) reconnected(peer msg.RouterID) {
 	for _, q := range e.waitingQueues() {
-		if t := q.told[peer]; t != nil && t.count > 0 {
+		if t := q.registrations[peer]; t != nil && t.count > 0 {
 			t.at = e.n.now
-			e.sendWait(q, peer, t)
+			e.sendRegistration(q, peer, t)
 		}
-		if e.n.members.owner(ownPool, string(q.pool.id)) == peer {
-			q.pool.everAsked = false
-			e.askFor(q.pool, true)
+		if e.n.members.owner(ownerOfPool, string(q.pool.id)) == peer {
+			q.pool.demandSent = false
+			e.sendDemand(q.pool, true)
 		}
 	}
 	if p := e.peers[peer]; p != nil {
-		e.keepBy(p, e.n.now)
+		e.scheduleKeepAlive(p, e.n.now)
 	}
 }
 
-// reconnected sends the grants that are not confirmed again soon, and tells the
-// directories there of this router's slots.
+// reconnected schedules the resending of unconfirmed grants at once, and the
+// sending of this router's capacity to the pools' directories at the peer.
 func (a *admitter) reconnected(peer msg.RouterID) {
-	for _, g := range a.unsure {
+	for _, g := range a.unconfirmed {
 		if g.entry == peer {
-			g.resend = a.n.now
+			g.resendAt = a.n.now
 		}
 	}
-	for _, p := range a.order {
-		if a.n.members.owner(ownPool, string(p.id)) == peer {
-			p.told = Have{Pool: p.id}
+	for _, p := range a.poolsByID {
+		if a.n.members.owner(ownerOfPool, string(p.id)) == peer {
+			p.lastCapacity = Capacity{Pool: p.id}
 		}
 	}
 }
--- a/internal/core/share/reference_test.go
+++ b/internal/core/share/reference_test.go
@@ -10,20 +10,20 @@
 	"github.com/windscale/windscale/internal/core/share"
 )
 
-// workload is requests that do not depend on how they are served: the k-th
-// request of a stream always costs the same.
+// workload generates requests independently of how they are served: the k-th
+// request of a stream always has the same cost.
 type workload struct {
 	routers, servers, slots, pools int
 	customers, backlogged          int
-	rate                           float64 // cost a second a slot
-	trickle                        float64 // part of the capacity that the rest asks for
+	rate                           float64 // cost per second and slot
+	lightLoad                      float64 // part of the capacity that customers without a backlog use
 	weights                        []float64
-	cost                           float64 // mean cost of every request; 0: each customer's own
-	prefix                         string  // of the pools' names; "": models
-	pausing                        bool    // every other pair of customers comes and goes
+	cost                           float64 // mean cost of every request; 0: differs by customer
+	prefix                         string  // of the pools' IDs; "": models
+	pausing                        bool    // every other pair of customers alternates between load and pauses
 }
 
-// stream is a customer's requests at one entry for one pool.
+// stream generates a customer's requests at one entry for one pool.
 type stream struct {
 	customer int
 	pool     msg.PoolID
@@ -63,8 +63,8 @@
 }
 
 // streams returns the backlogged customers' streams and how many requests each
-// keeps outstanding. Every backlogged customer uses two pools; half of them
-// are stuck to one router, the others are spread over up to eight.
+// keeps outstanding. Every backlogged customer uses two pools; half of the
+// customers use one router each, the others up to eight.
 func (w workload) streams() ([]*stream, int) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	var out []*stream
@@ -97,7 +97,7 @@
 	}
 }
 
-// target is what a run of a workload is played on.
+// target is a scheduler that a workload runs on.
 type target interface {
 	arrive(*simRequest)
 	after(time.Duration, func())
@@ -107,12 +107,12 @@
 	busyTime() time.Duration
 }
 
-// result is what a run came to.
+// result is the outcome of a run.
 type result struct {
-	gap      float64 // largest, cost over weight
+	gap      float64 // largest gap; cost over weight
 	gapMean  float64 // mean over the samples
 	util     float64
-	longest  time.Duration // wait of a customer that is not backlogged
+	longest  time.Duration // wait of a customer without a backlog
 	finished int
 }
 
@@ -128,15 +128,15 @@
 		by[r.ID] = s
 		t.arrive(r)
 	}
-	trickle := map[msg.RequestID]bool{}
+	lightLoad := map[msg.RequestID]bool{}
 	t.onDone(func(r *simRequest) {
 		res.finished++
 		if s := by[r.ID]; s != nil {
 			delete(by, r.ID)
 			t.after(w.pause(s, r.arrived), func() { send(s) })
 		}
-		if trickle[r.ID] {
-			delete(trickle, r.ID)
+		if lightLoad[r.ID] {
+			delete(lightLoad, r.ID)
 			if r.arrived > from+warmUp {
 				res.longest = max(res.longest, r.began-r.arrived)
 			}
@@ -154,7 +154,7 @@
 			t.after(time.Duration(begin.Int64N(int64(2*time.Second))), func() { send(s) })
 		}
 	}
-	w.startTrickle(t, trickle)
+	w.startLightLoad(t, lightLoad)
 	t.run(from + warmUp)
 	base, busy := t.service(), t.busyTime()
 	for k, c := range customerOf {
@@ -182,7 +182,7 @@
 
 func (w workload) pauses(customer int) bool { return w.pausing && customer%4 < 2 }
 
-// pause is how long the stream's next request stays away.
+// pause returns how long the stream delays its next request.
 func (w workload) pause(s *stream, arrived time.Duration) time.Duration {
 	if !w.pauses(s.customer) || (int(arrived/pauseTime)+s.customer)%2 == 0 {
 		return 0
@@ -190,11 +190,11 @@
 	return pauseTime
 }
 
-// startTrickle sends the other customers' requests, at random.
-func (w workload) startTrickle(t target, ids map[msg.RequestID]bool) {
+// startLightLoad sends the requests of customers without a backlog, at random.
+func (w workload) startLightLoad(t target, ids map[msg.RequestID]bool) {
 	rng := rand.New(rand.NewPCG(9, 9))
 	const mean = 100.0
-	gap := mean * 1.1 / (w.trickle * float64(w.servers*w.slots) * w.rate) * float64(time.Second)
+	gap := mean * 1.1 / (w.lightLoad * float64(w.servers*w.slots) * w.rate) * float64(time.Second)
 	n := 0
 	var next func()
 	next = func() {
@@ -207,13 +207,13 @@
 		t.arrive(r)
 		t.after(time.Duration(rng.ExpFloat64()*gap), next)
 	}
-	if w.trickle > 0 && w.customers > w.backlogged {
+	if w.lightLoad > 0 && w.customers > w.backlogged {
 		t.after(0, next)
 	}
 }
 
-// gapMeter finds the largest difference of the service that two customers of a
-// pool got in any interval in which both were backlogged.
+// gapMeter finds the largest difference between the service of two customers of
+// a pool in any interval in which both were backlogged.
 type gapMeter struct {
 	keys    []simKey
 	values  []float64
@@ -255,7 +255,8 @@
 	}
 }
 
-// spread is the difference between the most and the least served since base.
+// spread returns the difference between the most and the least served since
+// base.
 func spread(now, base map[simKey]float64, of map[simKey]int) float64 {
 	low, high := map[msg.PoolID]float64{}, map[msg.PoolID]float64{}
 	for k := range of {
@@ -283,26 +284,27 @@
 	return sum
 }
 
-// cells is the reference: the slots are divided into cells, and each cell
-// gives a free slot at once to its least served waiting customer. One cell a
-// pool is the all-knowing queue. A cell for each router and pool is the naive
-// version, in which each router shares a fixed part of the slots alone.
-type cells struct {
+// referenceScheduler divides the slots into groups, each of which gives a free
+// slot at once to its least served waiting customer. With one group per pool it
+// is an ideal central queue. With one group per router and pool it is the naive
+// design, in which each router allocates a fixed part of the slots
+// independently.
+type referenceScheduler struct {
 	fleet
 	perRouter bool
-	cells     map[string]*cell
+	groups    map[string]*slotGroup
 	w         workload
 	active    map[*simRequest]bool
 	busy      time.Duration
 }
 
-type cell struct {
+type slotGroup struct {
 	slots, running int
 	mean           runningMean
-	queues         map[msg.CustomerID]*cellQueue
+	queues         map[msg.CustomerID]*groupQueue
 }
 
-type cellQueue struct {
+type groupQueue struct {
 	reqs    []*simRequest
 	charged float64
 	mean    runningMean
@@ -320,32 +322,32 @@
 	m.value += (v - m.value) / 8
 }
 
-func newCells(w workload, perRouter bool) *cells {
-	c := &cells{perRouter: perRouter, cells: map[string]*cell{}, w: w, active: map[*simRequest]bool{}}
+func newReferenceScheduler(w workload, perRouter bool) *referenceScheduler {
+	c := &referenceScheduler{perRouter: perRouter, groups: map[string]*slotGroup{}, w: w, active: map[*simRequest]bool{}}
 	c.served = map[simKey]float64{}
 	return c
 }
 
-func (c *cells) cellOf(r *simRequest) *cell {
+func (c *referenceScheduler) groupOf(r *simRequest) *slotGroup {
 	name, slots := string(r.Pool), c.w.servers*c.w.slots/c.w.pools
 	if c.perRouter {
 		name += string(r.entry)
 		slots = max(1, slots/c.w.routers)
 	}
-	x, ok := c.cells[name]
+	x, ok := c.groups[name]
 	if !ok {
-		x = &cell{slots: slots, queues: map[msg.CustomerID]*cellQueue{}}
-		c.cells[name] = x
+		x = &slotGroup{slots: slots, queues: map[msg.CustomerID]*groupQueue{}}
+		c.groups[name] = x
 	}
 	return x
 }
 
-func (c *cells) arrive(r *simRequest) {
+func (c *referenceScheduler) arrive(r *simRequest) {
 	r.arrived = c.now
-	x := c.cellOf(r)
+	x := c.groupOf(r)
 	q := x.queues[r.Customer]
 	if q == nil {
-		q = new(cellQueue)
+		q = new(groupQueue)
 		x.queues[r.Customer] = q
 	}
 	if len(q.reqs) == 0 {
@@ -355,15 +357,15 @@
 	c.grant(x)
 }
 
-func (x *cell) floor() float64 {
-	if q := x.least(); q != nil {
+func (x *slotGroup) floor() float64 {
+	if q := x.leastServed(); q != nil {
 		return q.charged
 	}
 	return 0
 }
 
-func (x *cell) least() *cellQueue {
-	var best *cellQueue
+func (x *slotGroup) leastServed() *groupQueue {
+	var best *groupQueue
 	for _, q := range x.queues {
 		if len(q.reqs) > 0 && (best == nil || q.charged < best.charged ||
 			(q.charged == best.charged && q.reqs[0].ID < best.reqs[0].ID)) {
@@ -373,9 +375,9 @@
 	return best
 }
 
-func (c *cells) grant(x *cell) {
+func (c *referenceScheduler) grant(x *slotGroup) {
 	for x.running < x.slots {
-		q := x.least()
+		q := x.leastServed()
 		if q == nil {
 			return
 		}
@@ -403,7 +405,7 @@
 	}
 }
 
-func (c *cells) service() map[simKey]float64 {
+func (c *referenceScheduler) service() map[simKey]float64 {
 	out := map[simKey]float64{}
 	for k, v := range c.served {
 		out[k] = v
@@ -414,7 +416,7 @@
 	return out
 }
 
-func (c *cells) busyTime() time.Duration {
+func (c *referenceScheduler) busyTime() time.Duration {
 	sum := c.busy
 	for r := range c.active {
 		sum += c.now - r.began
@@ -422,7 +424,7 @@
 	return sum
 }
 
-// simKey is a customer in a pool.
+// simKey identifies a customer in a pool.
 type simKey struct {
 	pool     msg.PoolID
 	customer msg.CustomerID
@@ -430,7 +432,8 @@
 
 func keyOf(r *simRequest) simKey { return simKey{r.Pool, r.Customer} }
 
-// service is what each customer has got, running requests by their part done.
+// service returns the service of each customer, including the finished part of
+// running requests.
 func (f *fleet) service() map[simKey]float64 {
 	out := map[simKey]float64{}
 	for k, v := range f.served {
--- a/internal/core/share/regions_test.go
+++ b/internal/core/share/regions_test.go
@@ -11,31 +11,32 @@
 	"github.com/windscale/windscale/internal/core/share"
 )
 
-// regions is a fleet whose routers r0 to r2, r10 to r12 and so on are in one
-// region and the others in another; the server of the same number is in the
-// same region.
+// regions is a fleet in two regions: routers whose IDs end in 0 to 2 are in the
+// first, the others in the second. Each server is in the region of the router
+// of the same number.
 type regions struct{ *fleet }
 
-func second(id msg.RouterID) bool { return id[len(id)-1] >= '3' }
+func inSecondRegion(id msg.RouterID) bool { return id[len(id)-1] >= '3' }
 
-// meet tells every router the members and servers that it reaches.
-func (f regions) meet(together bool) {
+// setReachable sets each router's members and servers to those that it can
+// reach: all of them, or only those of its region.
+func (f regions) setReachable(together bool) {
 	for _, id := range f.ids {
 		var members []share.Member
 		var servers []msg.ServerID
-		f.cut[id] = 0
-		if !together && second(id) {
-			f.cut[id] = 1
+		f.side[id] = 0
+		if !together && inSecondRegion(id) {
+			f.side[id] = 1
 		}
 		for i, other := range f.ids {
-			if together || second(other) == second(id) {
+			if together || inSecondRegion(other) == inSecondRegion(id) {
 				members = append(members, share.Member{ID: other, DataCentre: dataCentre(other)})
 				servers = append(servers, msg.ServerID(fmt.Sprint("s", i)))
 			}
 		}
 		f.nodes[id].SetMembers(f.clock(id), members)
 		f.nodes[id].SetServers(f.clock(id), servers)
-		f.pump(id)
+		f.runActions(id)
 	}
 }
 
@@ -48,10 +49,10 @@
 	return sum
 }
 
-// Regions that were apart for a minute and served at different speeds share
-// fairly once they meet: neither customer is held back until the other has
-// caught up.
-func TestRegionsThatMeetAgainOweNothing(t *testing.T) {
+// Regions that were partitioned for a minute and served at different speeds
+// must share fairly once reconnected: neither customer is held back until the
+// other has caught up.
+func TestRegionsHaveNoDebtAfterAPartition(t *testing.T) {
 	for _, routers := range []int{10, 30} {
 		for _, rates := range [][2]float64{{100, 1000}, {1000, 100}, {300, 300}} {
 			f := regions{newFleet(1, routers, share.Config{})}
@@ -63,15 +64,15 @@
 			f.done = func(r *simRequest) { again(r.Customer, r.entry) }
 			for i, id := range f.ids {
 				rate := rates[0]
-				if second(id) {
+				if inSecondRegion(id) {
 					rate = rates[1]
 				}
 				f.addServer(fmt.Sprint("s", i), 2, rate, pool)
 			}
-			f.meet(false)
+			f.setReachable(false)
 			for _, id := range f.ids {
 				for range 12 {
-					if second(id) {
+					if inSecondRegion(id) {
 						again("b", id)
 					} else {
 						again("a", id)
@@ -79,7 +80,7 @@
 				}
 			}
 			f.run(f.now + time.Minute)
-			f.meet(true)
+			f.setReachable(true)
 			f.run(f.now + 5*time.Second)
 			a, b := f.servedOf("a"), f.servedOf("b")
 			f.run(f.now + 10*time.Second)
--- a/internal/core/share/server.go
+++ b/internal/core/share/server.go
@@ -7,71 +7,74 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// peakWindow is how long a server's load report may lag: grants of that time
-// explain what a report says is running.
-const peakWindow = 1500 * time.Millisecond
+// reportLag is how far a server's load report may lag: requests granted within
+// this time may account for what a report counts as running.
+const reportLag = 1500 * time.Millisecond
 
-// poolServer is a backend server that this router admits to, or did.
+// poolServer is a backend server that this router admits to, or admitted to
+// before.
 type poolServer struct {
-	id       msg.ServerID
-	owned    bool // rendezvous hashing gives it to this router now
-	reported bool // there was a load report since
-	leaving  bool
-	pools    []msg.PoolID
-	turn     int // the pool whose turn it is
-	limit    limit
-	held     int // grants not yet ended
-	peak     int // most held in this window and in the last one
-	lastPeak int
-	peakAt   time.Duration
-	foreign  int // running there without a grant of this router
-	probeAt  time.Duration
-	total    mean // seconds a short call takes, as its entry sees it
-	overhead mean // seconds between its grant and its end beyond that
+	id                  msg.ServerID
+	owned               bool // rendezvous hashing currently assigns the server to this router
+	reported            bool // a load report has arrived since the server was assigned
+	leaving             bool
+	pools               []msg.PoolID
+	nextPool            int // index of the pool that is next in the rotation
+	limit               concurrencyLimit
+	outstanding         int // grants not yet ended
+	peakOutstanding     int // highest value of outstanding in the current window
+	lastPeakOutstanding int // highest value in the previous window
+	windowStart         time.Duration
+	untracked           int // requests running there without a grant of this router
+	nextProbeAt         time.Duration
+	callSeconds         runningMean // mean duration of a plain service's call, as measured by its entry
+	overheadSeconds     runningMean // mean time between grant and release beyond the call's duration
 }
 
-// free is how many more requests may run there.
-func (s *poolServer) free() int {
+// freeSlots returns how many more requests may be granted at the server.
+func (s *poolServer) freeSlots() int {
 	if !s.owned || !s.reported || s.leaving {
 		return 0
 	}
-	return int(s.limit.value) + s.ahead() - s.held - s.foreign
+	return int(s.limit.value) + s.extraGrants() - s.outstanding - s.untracked
 }
 
-// ahead is how many grants more than slots it takes that none is idle while
-// grants and ends are under way. It matters for short calls only.
-func (s *poolServer) ahead() int {
-	if !s.total.known || s.total.value <= 0 {
+// extraGrants returns how many grants beyond the number of slots keep all slots
+// busy while grants and releases are in transit. It is significant for short
+// calls only.
+func (s *poolServer) extraGrants() int {
+	if !s.callSeconds.known || s.callSeconds.value <= 0 {
 		return 0
 	}
-	part := min(1, s.overhead.value/s.total.value)
+	part := min(1, s.overheadSeconds.value/s.callSeconds.value)
 	return int(math.Round(part * s.limit.value))
 }
 
-// called notes how long a plain service's call held its slot.
-func (s *poolServer) called(held, total time.Duration) {
-	s.total.add(total.Seconds())
-	s.overhead.add(max(0, held-total).Seconds())
+// recordCall records how long a plain service's call occupied its slot.
+func (s *poolServer) recordCall(held, total time.Duration) {
+	s.callSeconds.add(total.Seconds())
+	s.overheadSeconds.add(max(0, held-total).Seconds())
 }
 
-func (s *poolServer) hold(now time.Duration, n int) {
-	if now-s.peakAt >= peakWindow {
-		s.lastPeak, s.peak, s.peakAt = s.peak, s.held, now
+// addOutstanding adds n to the outstanding grants and updates their peaks.
+func (s *poolServer) addOutstanding(now time.Duration, n int) {
+	if now-s.windowStart >= reportLag {
+		s.lastPeakOutstanding, s.peakOutstanding, s.windowStart = s.peakOutstanding, s.outstanding, now
 	}
-	s.held += n
-	s.peak = max(s.peak, s.held)
+	s.outstanding += n
+	s.peakOutstanding = max(s.peakOutstanding, s.outstanding)
 }
 
-// report takes a load report. What runs beyond the most that this router can
-// have started in the report's time was started by another admitter, or
-// before a restart.
-func (s *poolServer) report(now time.Duration, r LoadReport) {
-	s.hold(now, 0)
+// applyReport applies a load report. Running requests in excess of the most
+// that this router can have started within reportLag were started by another
+// admitter, or by this router before a restart.
+func (s *poolServer) applyReport(now time.Duration, r LoadReport) {
+	s.addOutstanding(now, 0)
 	s.reported, s.leaving = true, r.Leaving
-	s.foreign = max(0, r.Running+r.Queued-max(s.peak, s.lastPeak))
+	s.untracked = max(0, r.Running+r.Queued-max(s.peakOutstanding, s.lastPeakOutstanding))
 	queued := r.Queued
-	if s.foreign > 0 {
-		queued = 0 // not of this router's making, and held back for already
+	if s.untracked > 0 {
+		queued = 0 // the queue is not caused by this router, and freeSlots already allows for untracked requests
 	}
-	s.limit.report(now, r.Slots, queued)
+	s.limit.applyReport(now, r.Slots, queued)
 }
--- a/internal/core/share/share.go
+++ b/internal/core/share/share.go
@@ -1,16 +1,17 @@
-// Package share decides which waiting request gets which backend server's
-// slot, so that customers across the whole fleet get their fair shares. It is
-// a state machine without input or output: every router runs one Node, feeds
-// it what happens, and carries out what Ready returns.
+// Package share decides which waiting request gets a slot at which backend
+// server, so that customers get their fair shares across the whole fleet. It is
+// a state machine that performs no I/O: each router runs one Node, passes
+// events to it, and carries out the actions that Ready returns.
 //
-// A Node has four parts. The entry side holds this router's waiting requests
-// and registers them with admitters. The admitting side hands out the slots of
+// A Node has four parts. The entry queues the requests that arrived at this
+// router and registers them with admitters. The admitter allocates the slots of
 // the backend servers that rendezvous hashing assigns to this router, to the
-// customer with the least weighted service. The directory, at one router a
-// pool, says which routers admit to the pool and tells waiting entries of free
-// slots. The tree merges the service counters of all admitters.
+// customer with the least weighted service. The directory of a pool, kept by
+// one router, lists the routers that admit to the pool and tells entries with
+// waiting requests about free slots. The tree aggregates the service counters
+// of all admitters.
 //
-// A Node is not safe for concurrent use: one goroutine owns it.
+// A Node is not safe for concurrent use.
 package share
 
 import (
@@ -19,55 +20,55 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Defaults of Config's zero fields.
+// Values that replace zero fields of Config.
 const (
-	DefaultKeepInterval  = 3 * time.Second
-	DefaultGrantTimeout  = 10 * time.Second
-	DefaultProbeInterval = time.Second
-	DefaultSpreadDelay   = 5 * time.Millisecond
-	DefaultNoServerAfter = 2 * time.Second
-	DefaultQueueBytes    = 256 << 20
-	DefaultQueueRequests = 20000
+	DefaultKeepAliveInterval = 3 * time.Second
+	DefaultGrantTimeout      = 10 * time.Second
+	DefaultProbeInterval     = time.Second
+	DefaultWidenDelay        = 5 * time.Millisecond
+	DefaultNoServerTimeout   = 2 * time.Second
+	DefaultQueueBytes        = 256 << 20
+	DefaultQueueRequests     = 20000
 )
 
-// Config is what a Node needs to know of its router.
+// Config configures a Node.
 type Config struct {
-	ID            msg.RouterID
-	Incarnation   uint64 // grows with each start of the router; above 0
-	DataCentre    string
-	MergeInterval time.Duration // between two merges of the counters; 0: by the fleet's size
-	KeepInterval  time.Duration // between two keep-alives of held grants
-	GrantTimeout  time.Duration // a grant not kept alive is over after it
-	ProbeInterval time.Duration // between two load reports of a server
-	SpreadDelay   time.Duration // a wait this long is registered more widely
-	NoServerAfter time.Duration // a wait this long for an unknown pool is refused
-	QueueBytes    int64         // bytes of waiting requests
-	QueueRequests int           // waiting requests
+	ID                msg.RouterID
+	Incarnation       uint64 // increases with each start of the router; above 0
+	DataCentre        string
+	MergeInterval     time.Duration // between two merges of the service counters; 0: derived from the fleet size
+	KeepAliveInterval time.Duration // between two keep-alives for held grants
+	GrantTimeout      time.Duration // a grant without a keep-alive for this long expires
+	ProbeInterval     time.Duration // between two load reports of a server
+	WidenDelay        time.Duration // after this wait, a queue is registered with more admitters
+	NoServerTimeout   time.Duration // after this wait, a request for a pool without admitters is refused
+	QueueBytes        int64         // limit on the size of all waiting requests
+	QueueRequests     int           // limit on the number of waiting requests
 }
 
-func orDefault[T int | int64 | time.Duration](v *T, d T) {
+func setDefault[T int | int64 | time.Duration](v *T, d T) {
 	if *v == 0 {
 		*v = d
 	}
 }
 
 func (c Config) withDefaults() Config {
-	orDefault(&c.KeepInterval, DefaultKeepInterval)
-	orDefault(&c.GrantTimeout, DefaultGrantTimeout)
-	orDefault(&c.ProbeInterval, DefaultProbeInterval)
-	orDefault(&c.SpreadDelay, DefaultSpreadDelay)
-	orDefault(&c.NoServerAfter, DefaultNoServerAfter)
-	orDefault(&c.QueueBytes, DefaultQueueBytes)
-	orDefault(&c.QueueRequests, DefaultQueueRequests)
+	setDefault(&c.KeepAliveInterval, DefaultKeepAliveInterval)
+	setDefault(&c.GrantTimeout, DefaultGrantTimeout)
+	setDefault(&c.ProbeInterval, DefaultProbeInterval)
+	setDefault(&c.WidenDelay, DefaultWidenDelay)
+	setDefault(&c.NoServerTimeout, DefaultNoServerTimeout)
+	setDefault(&c.QueueBytes, DefaultQueueBytes)
+	setDefault(&c.QueueRequests, DefaultQueueRequests)
 	return c
 }
 
 // Limits bound a customer's use of the entry router. They mirror
 // dispatch.Limits.
 type Limits struct {
-	QueueLen    int           // requests waiting; 0: no limit
+	QueueLen    int           // waiting requests; 0: no limit
 	QueueTime   time.Duration // longest wait; 0: no limit
-	Concurrency int           // requests running; 0: no limit
+	Concurrency int           // running requests; 0: no limit
 }
 
 // Request is a request that waits for a slot. It mirrors dispatch.Request.
@@ -81,37 +82,37 @@
 	Limits   Limits
 }
 
-// Result is what came of a started request. It mirrors dispatch.Result.
+// Result is the outcome of a started request. It mirrors dispatch.Result.
 type Result struct {
 	Cost    msg.Cost
-	First   time.Duration // to the first token or byte; 0: none came
+	First   time.Duration // until the first token or byte; 0: none was received
 	Total   time.Duration
-	Leaving bool // the server said that it is leaving, or could not be dialled
-	Busy    bool // the server refused for overload
-	Unused  bool // nothing was sent to the server, so it says nothing of cost and speed
+	Leaving bool // the server announced that it is leaving, or could not be dialled
+	Busy    bool // the server refused the request because of overload
+	Unused  bool // nothing was sent to the server, so Cost and the times carry no information
 }
 
-// Reason says why a request is refused. Its numbers are those of
+// Reason is why a request is refused. The values equal those of
 // dispatch.Reason.
 type Reason int
 
-// The reasons of a Refuse.
+// Reasons for a Refusal.
 const (
 	QueueFull    Reason = iota + 1 // the customer's queue is full
-	RouterFull                     // the router holds all the waiting requests it may
-	QueueTimeout                   // waited the longest time
+	RouterFull                     // the router reached its limit on waiting requests
+	QueueTimeout                   // the request waited for the longest time allowed
 	NoServer                       // no server is known for the pool
 )
 
 // Member is a live router of the fleet.
 type Member struct {
 	ID          msg.RouterID
-	Incarnation uint64 // 0: not known
+	Incarnation uint64 // 0: unknown
 	DataCentre  string
-	Leaving     bool // finishes its own requests and admits no more
+	Leaving     bool // the router finishes its own requests and admits no more
 }
 
-// LoadReport is what a backend server says of itself.
+// LoadReport is what a backend server reports about itself.
 type LoadReport struct {
 	Server  msg.ServerID
 	Pools   []msg.PoolID
@@ -121,36 +122,37 @@
 	Leaving bool
 }
 
-// Start tells the shell to run the request at the server, now.
+// Start tells the shell to run the request at the server now.
 type Start struct {
 	Request msg.RequestID
 	Server  msg.ServerID
-	Addr    Addr // as the admitter knows it; nil: it knows none
+	Addr    Addr // as known to the admitter; nil: unknown
 }
 
-// Addr is a server's address as the shell packs it; the core only carries it.
-// It travels with each grant, so that an entry whose host list lags or is down
-// finds the server all the same.
+// Addr is a server's address in the shell's encoding, which the core does not
+// interpret. Each grant carries it, so that an entry can reach the server even
+// if its host list is outdated or unavailable.
 type Addr []byte
 
-// Refuse tells the shell that the request gets no slot. It has not run.
-type Refuse struct {
+// Refusal tells the shell that the request gets no slot. The request has not
+// run.
+type Refusal struct {
 	Request    msg.RequestID
 	Reason     Reason
-	RetryAfter time.Duration // when to come back; 0: not known
+	RetryAfter time.Duration // when the caller should retry; 0: unknown
 }
 
-// Outgoing is a message for another router.
+// Outgoing is a message to another router.
 type Outgoing struct {
 	To      msg.RouterID
 	Message *Message
 }
 
-// Ready is what the shell has to carry out.
+// Ready lists the actions that the shell has to carry out.
 type Ready struct {
-	Send     []Outgoing
-	Start    []Start
-	Refuse   []Refuse
-	Probe    []msg.ServerID // ask these servers for a load report
-	Settings uint64         // the newest settings version heard of; 0: none newer
+	Send            []Outgoing
+	Start           []Start
+	Refuse          []Refusal
+	Probe           []msg.ServerID // request a load report from each of these servers
+	SettingsVersion uint64         // the newest version that another router has announced; 0: none newer than ours
 }
--- a/internal/core/share/sim_test.go
+++ b/internal/core/share/sim_test.go
@@ -10,46 +10,46 @@
 	"github.com/windscale/windscale/internal/core/share"
 )
 
-// fleet passes messages between Nodes with delay and loss, and plays the
-// backend servers. Time is simulated and runs are repeatable.
+// fleet connects Nodes by a simulated network with delay and loss, and
+// simulates the backend servers. Time is simulated and runs are deterministic.
 type fleet struct {
-	rng      *rand.Rand
-	config   share.Config // of each node, but for its identity
-	now      time.Duration
-	events   eventHeap
-	seq      int
-	delay    time.Duration // one way, plus up to half of it
-	loss     float64
-	cut      map[msg.RouterID]int           // side of a partition
-	skew     map[msg.RouterID]time.Duration // of a router's clock
-	nodes    map[msg.RouterID]*share.Node
-	ids      []msg.RouterID
-	servers  map[msg.ServerID]*simServer
-	requests map[msg.RequestID]*simRequest
-	served   map[simKey]float64 // cost over weight
-	done     func(*simRequest)
-	refused  func(*simRequest, share.Reason)
-	bytes    int
-	messages int
-	size     bool // encode messages to count bytes
-	tick     time.Duration
-	spy      func(*share.Message)
-	over     int // most running beyond a server's slots
-	incs     uint64
-	inc      map[msg.RouterID]uint64
+	rng             *rand.Rand
+	config          share.Config // of each node, except for its identity
+	now             time.Duration
+	events          eventHeap
+	seq             int
+	delay           time.Duration // least one-way delay; up to half of it is added
+	loss            float64
+	side            map[msg.RouterID]int           // of the partition; messages between different sides are lost
+	skew            map[msg.RouterID]time.Duration // offset of a router's clock
+	nodes           map[msg.RouterID]*share.Node
+	ids             []msg.RouterID
+	servers         map[msg.ServerID]*simServer
+	requests        map[msg.RequestID]*simRequest
+	served          map[simKey]float64 // cost over weight
+	done            func(*simRequest)
+	refused         func(*simRequest, share.Reason)
+	bytes           int
+	messages        int
+	countBytes      bool // encode messages to count their bytes
+	tick            time.Duration
+	onSend          func(*share.Message)
+	overSlots       int // highest number of requests queued at a server beyond its slots
+	lastIncarnation uint64
+	incarnations    map[msg.RouterID]uint64
 }
 
 type simServer struct {
-	id      msg.ServerID
-	pools   []msg.PoolID
-	slots   int
-	rate    float64 // cost a second a slot
-	running []*simRequest
-	queue   []*simRequest
-	leaving bool
-	refuses bool          // for overload
-	busy    time.Duration // slot time used
-	busyAt  time.Duration
+	id         msg.ServerID
+	pools      []msg.PoolID
+	slots      int
+	rate       float64 // cost per second and slot
+	running    []*simRequest
+	queue      []*simRequest
+	leaving    bool
+	overloaded bool          // refuses requests
+	busy       time.Duration // total slot time used
+	busyAt     time.Duration
 }
 
 type simRequest struct {
@@ -87,11 +87,11 @@
 
 func newFleet(seed uint64, routers int, config share.Config) *fleet {
 	f := &fleet{
-		config: config, incs: 1_790_000_000,
+		config: config, lastIncarnation: 1_790_000_000,
 		rng: rand.New(rand.NewPCG(seed, 1)), delay: time.Millisecond, tick: 10 * time.Millisecond,
-		cut: map[msg.RouterID]int{}, skew: map[msg.RouterID]time.Duration{}, nodes: map[msg.RouterID]*share.Node{},
+		side: map[msg.RouterID]int{}, skew: map[msg.RouterID]time.Duration{}, nodes: map[msg.RouterID]*share.Node{},
 		servers: map[msg.ServerID]*simServer{}, requests: map[msg.RequestID]*simRequest{},
-		served: map[simKey]float64{}, inc: map[msg.RouterID]uint64{},
+		served: map[simKey]float64{}, incarnations: map[msg.RouterID]uint64{},
 		done: func(*simRequest) {}, refused: func(*simRequest, share.Reason) {},
 	}
 	for i := range routers {
@@ -101,15 +101,15 @@
 	return f
 }
 
-// startNode starts a router, or starts it again without memory.
+// startNode starts a router, or restarts it without state.
 func (f *fleet) startNode(id msg.RouterID) {
-	f.incs++
-	f.inc[id] = f.incs
+	f.lastIncarnation++
+	f.incarnations[id] = f.lastIncarnation
 	if _, ok := f.nodes[id]; !ok {
 		f.ids = append(f.ids, id)
 	}
 	cfg := f.config
-	cfg.ID, cfg.Incarnation, cfg.DataCentre = id, f.incs, dataCentre(id)
+	cfg.ID, cfg.Incarnation, cfg.DataCentre = id, f.lastIncarnation, dataCentre(id)
 	n := share.New(cfg)
 	f.nodes[id] = n
 	f.after(time.Duration(f.rng.Int64N(int64(f.tick))), func() { f.tickNode(id, n) })
@@ -120,7 +120,7 @@
 		return
 	}
 	n.Tick(f.clock(id))
-	f.pump(id)
+	f.runActions(id)
 	f.after(f.tick, func() { f.tickNode(id, n) })
 }
 
@@ -132,16 +132,16 @@
 	}
 }
 
-// setMembersOf gives a router the list of all routers but one.
+// setMembersOf sets a router's members to all routers but one.
 func (f *fleet) setMembersOf(id, without msg.RouterID) {
 	var list []share.Member
 	for _, x := range f.ids {
 		if x != without {
-			list = append(list, share.Member{ID: x, Incarnation: f.inc[x], DataCentre: dataCentre(x)})
+			list = append(list, share.Member{ID: x, Incarnation: f.incarnations[x], DataCentre: dataCentre(x)})
 		}
 	}
 	f.nodes[id].SetMembers(f.clock(id), list)
-	f.pump(id)
+	f.runActions(id)
 }
 
 func (f *fleet) addServer(id string, slots int, rate float64, pools ...msg.PoolID) {
@@ -160,7 +160,7 @@
 		list = append(list, msg.ServerID(fmt.Sprintf("s%d", i)))
 	}
 	f.nodes[id].SetServers(f.clock(id), list)
-	f.pump(id)
+	f.runActions(id)
 }
 
 func (f *fleet) after(d time.Duration, do func()) {
@@ -181,8 +181,8 @@
 	return f.delay + time.Duration(f.rng.Int64N(int64(f.delay)/2+1))
 }
 
-// pump carries out what a node wants done.
-func (f *fleet) pump(id msg.RouterID) {
+// runActions carries out a node's pending actions.
+func (f *fleet) runActions(id msg.RouterID) {
 	n := f.nodes[id]
 	r := n.Ready()
 	for _, out := range r.Send {
@@ -204,23 +204,23 @@
 func (f *fleet) send(from msg.RouterID, out share.Outgoing) {
 	f.messages++
 	m := out.Message
-	if f.spy != nil {
-		f.spy(m)
+	if f.onSend != nil {
+		f.onSend(m)
 	}
-	if f.size {
+	if f.countBytes {
 		b, err := share.Encode(m)
 		if err != nil {
 			panic(err)
 		}
 		f.bytes += len(b)
 	}
-	if f.cut[from] != f.cut[out.To] || f.rng.Float64() < f.loss {
+	if f.side[from] != f.side[out.To] || f.rng.Float64() < f.loss {
 		return
 	}
 	f.after(f.latency(), func() {
 		if to := f.nodes[out.To]; to != nil {
-			to.Step(f.clock(out.To), from, m)
-			f.pump(out.To)
+			to.HandleMessage(f.clock(out.To), from, m)
+			f.runActions(out.To)
 		}
 	})
 }
@@ -229,31 +229,31 @@
 	if f.nodes[id] != n {
 		return
 	}
-	n.Load(f.clock(id), share.LoadReport{
+	n.HandleLoadReport(f.clock(id), share.LoadReport{
 		Server: s.id, Pools: s.pools, Slots: s.slots, Running: len(s.running), Queued: len(s.queue), Leaving: s.leaving,
 	})
-	f.pump(id)
+	f.runActions(id)
 }
 
 func (f *fleet) arrive(r *simRequest) {
 	f.requests[r.ID] = r
 	r.arrived = f.now
 	f.nodes[r.entry].Arrive(f.clock(r.entry), r.Request)
-	f.pump(r.entry)
+	f.runActions(r.entry)
 }
 
-// start runs a request at a server, or queues it there.
+// start runs a request at a server, or queues it there if the slots are taken.
 func (f *fleet) start(r *simRequest, s *simServer) {
 	r.starts++
 	r.server = s
 	r.began = f.now
-	if s.refuses || s.leaving {
+	if s.overloaded || s.leaving {
 		f.refuse(r)
 		return
 	}
 	if len(s.running) >= s.slots {
 		s.queue = append(s.queue, r)
-		f.over = max(f.over, len(s.queue))
+		f.overSlots = max(f.overSlots, len(s.queue))
 		return
 	}
 	f.begin(r)
@@ -292,7 +292,7 @@
 	}
 	if f.nodes[r.entry] == n {
 		n.End(f.clock(r.entry), r.ID, share.Result{Cost: msg.Cost(r.cost), First: r.first, Total: f.now - r.began})
-		f.pump(r.entry)
+		f.runActions(r.entry)
 	}
 	delete(f.requests, r.ID)
 	f.done(r)
--- a/internal/core/share/tree.go
+++ b/internal/core/share/tree.go
@@ -8,50 +8,51 @@
 )
 
 const (
-	fanOut      = 4                       // children of a router in the tree
-	mergeLeast  = 2 * time.Second         // between two merges, at least
-	mergeLevel  = 1250 * time.Millisecond // likewise, for each level below the root's children
-	levelDelay  = 30 * time.Millisecond   // a level sends up this much before the one above
-	firstMerge  = 300 * time.Millisecond  // after a change of the members
-	edgeBits    = 16
-	keepRecords = 4 // Ups of which the content is remembered
+	fanOut                = 4 // maximum children of a router in the tree
+	minMergeInterval      = 2 * time.Second
+	mergeIntervalPerLevel = 1250 * time.Millisecond // least merge interval for each level below the root's children
+	levelStagger          = 30 * time.Millisecond   // each level reports this much earlier than the level above
+	firstMergeDelay       = 300 * time.Millisecond  // after a change of the members
+	edgeCountBits         = 16                      // low bits of an edge ID, which hold the edge count
+	maxRecords            = 4                       // sent reports whose contents are remembered
 )
 
-// tree merges the admitters' service counters. The routers form a tree over
-// their sorted list. Each sends its parent what it and those below have served
-// since the last acknowledged Up; the root adds all up and sends the totals
-// down, at every merge. A lost, repeated or overtaken message changes nothing,
-// as the next one counts from the same acknowledged base.
+// tree aggregates the admitters' service counters. The routers form a tree over
+// their sorted list. At every merge, each router reports to its parent what it
+// and its descendants have served since the last acknowledged report; the root
+// adds everything up and sends the totals down. Lost, duplicated or reordered
+// messages do no harm, because the next report counts from the same
+// acknowledged base.
 type tree struct {
-	n        *Node
-	settings uint64 // in force here
-	heard    uint64 // newest heard of
-	parent   msg.RouterID
-	kids     []msg.RouterID
-	depth    int // of this router
-	height   int // depth of the last router
-	children map[msg.RouterID]*child
-	pools    map[msg.PoolID]*treePool
+	n              *Node
+	settings       uint64 // version of the settings in force here
+	newestSettings uint64 // newest version that any router has announced
+	parent         msg.RouterID
+	childIDs       []msg.RouterID
+	depth          int // of this router
+	height         int // depth of the last router
+	children       map[msg.RouterID]*child
+	pools          map[msg.PoolID]*treePool
 
-	edge      uint64 // number of the edge to the parent, of this incarnation only
-	edges     uint64 // how many there were
-	parentInc uint64 // 0: not known yet
-	base      uint64 // last acknowledged Up of the edge
-	upSeq     uint64
-	records   []record
-	upAt      time.Duration
-	floors    []PoolCount // totals known when the edge began
-	downSeq   uint64      // last Down of the parent's incarnation
-	merge     uint64      // number of the last merge passed on
-	mergeAt   time.Duration
+	edgeID            uint64 // of the edge to the parent; unique across incarnations
+	edgeCount         uint64 // edges to parents so far
+	parentIncarnation uint64 // 0: not known yet
+	base              uint64 // last acknowledged report of the edge
+	reportSeq         uint64
+	records           []reportRecord
+	nextReportAt      time.Duration
+	totalsAtReset     []PoolCounters // totals known when the edge was created
+	totalsSeq         uint64         // last FleetTotals of the parent's incarnation
+	mergeSeq          uint64         // number of the last merge that was forwarded
+	nextMergeAt       time.Duration
 }
 
 // child is the edge to a child.
 type child struct {
-	incarnation, edge uint64
-	seq, base         uint64
-	since             map[countKey]int64 // what the last Up counted since base
-	slots             map[countKey]int
+	incarnation, edgeID uint64
+	seq, base           uint64
+	sinceBase           map[countKey]int64 // service that the last report counts since base
+	slots               map[countKey]int
 }
 
 type countKey struct {
@@ -59,29 +60,29 @@
 	hash uint64
 }
 
-// treePool holds a pool's counters at a router.
+// treePool holds a router's counters of a pool.
 type treePool struct {
-	floor    int64 // least total of a backlogged customer; never falls
+	floor    int64 // least total of a backlogged customer; never decreases
 	counters map[uint64]*counter
 }
 
-// counter is a customer's service in a pool, as this router knows it.
+// counter is a customer's service in a pool, as known to this router.
 type counter struct {
-	below int64 // from the children
-	acked int64 // of value: acknowledged by the parent, or added by the root
-	total int64 // at the last merge; roots keep it up
-	live  bool  // among the totals of the last merge
-	slots int   // of the admitters where the customer waits
-	seen  int   // root: merges at which it waited, less those at which it did not
-	long  bool  // root: it is backlogged, not waiting by chance
+	fromChildren int64 // served by descendants and by deleted local accounts
+	acked        int64 // the part of servedInSubtree that the parent has acknowledged, or that the root has added to total
+	total        int64 // as of the last merge; the root accumulates it
+	listed       bool  // included in the totals of the last merge
+	slots        int   // of all admitters where the customer waits
+	waitScore    int   // root only: rises at merges where the customer waits, falls at the others
+	backlogged   bool  // root only: the customer waits persistently, not by chance
 }
 
-// record is what an Up carried.
-type record struct {
-	seq    uint64
-	values map[*counter]int64
-	own    map[*account]float64
-	kids   map[msg.RouterID]uint64 // the children's last Up within it
+// reportRecord is what a ServiceReport or a merge at the root included.
+type reportRecord struct {
+	seq         uint64
+	values      map[*counter]int64
+	localServed map[*account]float64
+	childSeqs   map[msg.RouterID]uint64 // the last report of each child that it includes
 }
 
 func newTree(n *Node) tree {
@@ -106,7 +107,7 @@
 	return c
 }
 
-// membersChanged works out the router's place in the tree.
+// membersChanged determines the router's place in the tree.
 func (t *tree) membersChanged() {
 	list := t.n.members.list
 	self := t.n.members.byID[t.n.cfg.ID]
@@ -115,24 +116,24 @@
 		parent = list[(self-1)/fanOut].ID
 	}
 	t.depth, t.height = depthOf(self), depthOf(len(list)-1)
-	t.kids = t.kids[:0]
+	t.childIDs = t.childIDs[:0]
 	for i := fanOut*self + 1; i <= fanOut*self+fanOut && i < len(list); i++ {
-		t.kids = append(t.kids, list[i].ID)
+		t.childIDs = append(t.childIDs, list[i].ID)
 	}
 	for id := range t.children {
-		if !t.hasKid(id) {
+		if !t.hasChild(id) {
 			delete(t.children, id)
 		}
 	}
-	if parent != t.parent || t.edge == 0 {
+	if parent != t.parent || t.edgeID == 0 {
 		t.parent = parent
-		t.newEdge(0)
+		t.resetEdge(0)
 	}
-	t.mergeAt = min(t.mergeAt, t.n.now+firstMerge)
-	t.upAt = min(t.upAt, t.n.now+firstMerge-time.Duration(t.depth)*levelDelay)
+	t.nextMergeAt = min(t.nextMergeAt, t.n.now+firstMergeDelay)
+	t.nextReportAt = min(t.nextReportAt, t.n.now+firstMergeDelay-time.Duration(t.depth)*levelStagger)
 }
 
-// depthOf is how far below the root the i-th router is.
+// depthOf returns the depth of the i-th router.
 func depthOf(i int) int {
 	n := 0
 	for ; i > 0; i = (i - 1) / fanOut {
@@ -141,17 +142,17 @@
 	return n
 }
 
-// interval is the time between two merges. A large fleet sends its totals over
-// more edges and has a coarser service to divide, so it merges less often.
+// interval returns the time between two merges. A larger fleet merges less
+// often, as it sends its totals over more edges and tolerates coarser counters.
 func (t *tree) interval() time.Duration {
 	if set := t.n.cfg.MergeInterval; set > 0 {
 		return set
 	}
-	return max(mergeLeast, mergeLevel*time.Duration(t.height-1))
+	return max(minMergeInterval, mergeIntervalPerLevel*time.Duration(t.height-1))
 }
 
-func (t *tree) hasKid(id msg.RouterID) bool {
-	for _, k := range t.kids {
+func (t *tree) hasChild(id msg.RouterID) bool {
+	for _, k := range t.childIDs {
 		if k == id {
 			return true
 		}
@@ -159,22 +160,23 @@
 	return false
 }
 
-// newEdge starts to count anew to a parent that has no memory of this router.
-// What the last parent has not acknowledged is sent again.
-func (t *tree) newEdge(incarnation uint64) {
-	t.edges++
-	t.edge = t.n.cfg.Incarnation<<edgeBits | t.edges
-	t.parentInc, t.downSeq, t.base, t.upSeq = incarnation, 0, 0, 0
+// resetEdge starts a new edge to the parent, which is assumed to know nothing
+// of this router. Whatever the last parent has not acknowledged is reported
+// again.
+func (t *tree) resetEdge(incarnation uint64) {
+	t.edgeCount++
+	t.edgeID = t.n.cfg.Incarnation<<edgeCountBits | t.edgeCount
+	t.parentIncarnation, t.totalsSeq, t.base, t.reportSeq = incarnation, 0, 0, 0
 	t.records = nil
-	t.floors = t.knownTotals()
+	t.totalsAtReset = t.knownTotals()
 }
 
-// knownTotals is what a parent is told that may have no memory.
-func (t *tree) knownTotals() []PoolCount {
-	var out []PoolCount
+// knownTotals returns the totals that are sent to a parent that may know none.
+func (t *tree) knownTotals() []PoolCounters {
+	var out []PoolCounters
 	for _, id := range t.sortedPools() {
 		p := t.pools[id]
-		if list := p.liveCounts(); len(list) > 0 {
+		if list := p.listedCounts(); len(list) > 0 {
 			out = append(out, packTotals(id, p.floor, list))
 		}
 	}
@@ -183,17 +185,18 @@
 
 func (t *tree) tick() {
 	switch {
-	case t.parent == "" && t.n.now >= t.mergeAt:
-		t.mergeAt = t.n.now + t.interval()
-		t.mergeRoot()
-	case t.parent != "" && t.n.now >= t.upAt:
-		t.upAt = t.n.now + t.interval()
-		t.sendUp()
+	case t.parent == "" && t.n.now >= t.nextMergeAt:
+		t.nextMergeAt = t.n.now + t.interval()
+		t.mergeAtRoot()
+	case t.parent != "" && t.n.now >= t.nextReportAt:
+		t.nextReportAt = t.n.now + t.interval()
+		t.sendReport()
 	}
 }
 
-// own is the account behind a counter, if this router admits to the pool.
-func (t *tree) own(pool msg.PoolID, hash uint64) *account {
+// localAccount returns the customer's account here, or nil if this router does
+// not admit to the pool or has no such account.
+func (t *tree) localAccount(pool msg.PoolID, hash uint64) *account {
 	p := t.n.admit.pools[pool]
 	if p == nil {
 		return nil
@@ -201,19 +204,19 @@
 	return p.byHash[hash]
 }
 
-// value is all that the router and those below have served.
-func (t *tree) value(pool msg.PoolID, hash uint64, c *counter) int64 {
-	if a := t.own(pool, hash); a != nil {
-		return c.below + int64(a.own)
+// servedInSubtree returns the service by this router and its descendants.
+func (t *tree) servedInSubtree(pool msg.PoolID, hash uint64, c *counter) int64 {
+	if a := t.localAccount(pool, hash); a != nil {
+		return c.fromChildren + int64(a.localServed)
 	}
-	return c.below
+	return c.fromChildren
 }
 
-// slotsOf is how many slots the admitters have, here and below, where the
-// customer waits just now.
+// slotsOf returns the slots of the admitters, at this router and its
+// descendants, where the customer currently waits.
 func (t *tree) slotsOf(pool msg.PoolID, hash uint64) int {
 	n := 0
-	if a := t.own(pool, hash); a != nil && a.waiting > 0 {
+	if a := t.localAccount(pool, hash); a != nil && a.waiting > 0 {
 		n = a.pool.slots
 	}
 	for _, c := range t.children {
@@ -222,18 +225,19 @@
 	return n
 }
 
-// touchOwn makes counters of the accounts that have waited here.
-func (t *tree) touchOwn() {
-	for _, p := range t.n.admit.order {
+// addLocalCounters ensures that each local account that has waited has a
+// counter.
+func (t *tree) addLocalCounters() {
+	for _, p := range t.n.admit.poolsByID {
 		for hash, a := range p.byHash {
-			if a.waited || a.active {
+			if a.waitedSinceMerge || a.active {
 				t.pool(p.id).counter(hash)
 			}
 		}
 	}
 }
 
-// sortedPools returns the pools' IDs in order.
+// sortedPools returns the pool IDs in order.
 func (t *tree) sortedPools() []msg.PoolID {
 	ids := make([]msg.PoolID, 0, len(t.pools))
 	for id := range t.pools {
@@ -243,108 +247,108 @@
 	return ids
 }
 
-// sendUp tells the parent what it has not acknowledged.
-func (t *tree) sendUp() {
-	t.touchOwn()
-	t.upSeq++
-	up := &Up{Edge: t.edge, Seq: t.upSeq, Base: t.base, Settings: max(t.settings, t.heard)}
+// sendReport sends the parent a report of what it has not acknowledged.
+func (t *tree) sendReport() {
+	t.addLocalCounters()
+	t.reportSeq++
+	report := &ServiceReport{EdgeID: t.edgeID, Seq: t.reportSeq, BaseSeq: t.base, SettingsVersion: max(t.settings, t.newestSettings)}
 	rec := t.newRecord()
 	for _, id := range t.sortedPools() {
-		var list []count
+		var list []counterValue
 		p := t.pools[id]
 		for hash, c := range p.counters {
-			v, slots := t.value(id, hash, c), t.slotsOf(id, hash)
+			v, slots := t.servedInSubtree(id, hash, c), t.slotsOf(id, hash)
 			rec.values[c] = v
 			if v != c.acked || slots > 0 {
-				list = append(list, count{hash, v - c.acked, slots})
+				list = append(list, counterValue{hash, v - c.acked, slots})
 			}
 		}
 		if len(list) > 0 {
-			up.Pools = append(up.Pools, PoolCount{Pool: id, Data: pack(list)})
+			report.Pools = append(report.Pools, PoolCounters{Pool: id, PackedCounters: pack(list)})
 		}
 	}
 	if t.base == 0 {
-		up.Floors = t.floors
+		report.KnownTotals = t.totalsAtReset
 	}
 	t.records = append(t.records, rec)
-	if len(t.records) > keepRecords {
+	if len(t.records) > maxRecords {
 		t.records = t.records[1:]
 	}
-	t.n.to(t.parent).Up = up
+	t.n.messageTo(t.parent).ServiceReport = report
 }
 
-// newRecord notes what this merge includes of this router's own service, and
-// starts to note afresh who waits.
-func (t *tree) newRecord() record {
-	rec := record{
-		seq: t.upSeq, values: map[*counter]int64{},
-		own: map[*account]float64{}, kids: map[msg.RouterID]uint64{},
+// newRecord returns a record of the local service and the children's reports
+// that the current merge includes.
+func (t *tree) newRecord() reportRecord {
+	rec := reportRecord{
+		seq: t.reportSeq, values: map[*counter]int64{},
+		localServed: map[*account]float64{}, childSeqs: map[msg.RouterID]uint64{},
 	}
 	for id, c := range t.children {
-		rec.kids[id] = c.seq
+		rec.childSeqs[id] = c.seq
 	}
-	for _, p := range t.n.admit.order {
+	for _, p := range t.n.admit.poolsByID {
 		for _, a := range p.accounts {
-			if a.waited || a.active {
-				rec.own[a] = a.own
+			if a.waitedSinceMerge || a.active {
+				rec.localServed[a] = a.localServed
 			}
 		}
 	}
 	return rec
 }
 
-func (t *tree) resetWaited() {
-	for _, p := range t.n.admit.order {
+func (t *tree) resetWaitedSinceMerge() {
+	for _, p := range t.n.admit.poolsByID {
 		for _, a := range p.accounts {
-			a.waited = a.waiting > 0
+			a.waitedSinceMerge = a.waiting > 0
 		}
 	}
 }
 
-// up takes a child's counts.
-func (t *tree) up(from msg.RouterID, incarnation uint64, u *Up) {
-	t.hear(u.Settings)
-	if !t.hasKid(from) {
+// handleReport applies a child's report.
+func (t *tree) handleReport(from msg.RouterID, incarnation uint64, report *ServiceReport) {
+	t.noteSettingsVersion(report.SettingsVersion)
+	if !t.hasChild(from) {
 		return
 	}
 	c := t.children[from]
-	if c == nil || c.incarnation < incarnation || (c.incarnation == incarnation && c.edge < u.Edge) {
-		if u.Base != 0 {
-			return // the child has yet to see that this router knows nothing of it
+	if c == nil || c.incarnation < incarnation || (c.incarnation == incarnation && c.edgeID < report.EdgeID) {
+		if report.BaseSeq != 0 {
+			return // the child does not know yet that this router has no record of its base
 		}
-		c = &child{incarnation: incarnation, edge: u.Edge, since: map[countKey]int64{}}
+		c = &child{incarnation: incarnation, edgeID: report.EdgeID, sinceBase: map[countKey]int64{}}
 		t.children[from] = c
-		t.adopt(u.Floors)
+		t.adoptTotals(report.KnownTotals)
 	}
-	if c.incarnation != incarnation || c.edge != u.Edge || u.Seq <= c.seq {
+	if c.incarnation != incarnation || c.edgeID != report.EdgeID || report.Seq <= c.seq {
 		return
 	}
-	switch u.Base {
+	switch report.BaseSeq {
 	case c.base:
 	case c.seq:
-		c.since = map[countKey]int64{}
+		c.sinceBase = map[countKey]int64{}
 	default:
 		return
 	}
-	c.base, c.seq = u.Base, u.Seq
+	c.base, c.seq = report.BaseSeq, report.Seq
 	c.slots = map[countKey]int{}
-	for _, p := range u.Pools {
+	for _, p := range report.Pools {
 		tp := t.pool(p.Pool)
-		for _, x := range unpack(p.Data) {
+		for _, x := range unpack(p.PackedCounters) {
 			key := countKey{p.Pool, x.hash}
-			tp.counter(x.hash).below += x.value - c.since[key]
-			c.since[key] = x.value
+			tp.counter(x.hash).fromChildren += x.value - c.sinceBase[key]
+			c.sinceBase[key] = x.value
 			c.slots[key] = x.slots
 		}
 	}
 }
 
-// adopt takes totals that a child knows and that are ahead of this router's,
-// as after a restart or a partition. What this router knows is lifted by the
-// difference of the floors: service had while apart is neither claimed back nor
-// owed, whichever side was the faster one.
-func (t *tree) adopt(floors []PoolCount) {
-	for _, f := range floors {
+// adoptTotals adopts a child's totals that are ahead of this router's, as after
+// a restart or a partition. This router's own totals are raised by the
+// difference of the floors, so that service received while apart is neither
+// reclaimed nor owed, whichever side was faster.
+func (t *tree) adoptTotals(totals []PoolCounters) {
+	for _, f := range totals {
 		p := t.pool(f.Pool)
 		if p.floor >= f.Floor {
 			continue
@@ -355,18 +359,20 @@
 		p.floor = f.Floor
 		for _, x := range f.totals() {
 			c := p.counter(x.hash)
-			if !c.live {
-				c.total, c.live = x.value, true
+			if !c.listed {
+				c.total, c.listed = x.value, true
 			}
 		}
 	}
 }
 
-func (t *tree) hear(settings uint64) {
-	if settings > t.heard {
-		t.heard = settings
-	}
-	if t.heard > t.settings {
-		t.n.ready.Settings = t.heard
+// noteSettingsVersion records a version of the settings that another router has
+// announced, and tells the shell if it is newer than the one in force.
+func (t *tree) noteSettingsVersion(settings uint64) {
+	if settings > t.newestSettings {
+		t.newestSettings = settings
+	}
+	if t.newestSettings > t.settings {
+		t.n.ready.SettingsVersion = t.newestSettings
 	}
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -55,8 +55,8 @@
 }
 
 func (r *stub) Explain(c msg.CustomerID) sharing.Explanation {
-	v := share.View{Pool: "m/plan", Customer: c, Waiting: 2, LongestNs: 1500 * time.Millisecond, WaitingFor: "its turn", PoolSlots: 12, Ahead: 4}
-	return sharing.Explanation{Customer: c, Pools: []share.View{v}}
+	v := share.CustomerView{Pool: "m/plan", Customer: c, Waiting: 2, LongestWait: 1500 * time.Millisecond, WaitingFor: "its turn", PoolSlots: 12, CustomersAhead: 4}
+	return sharing.Explanation{Customer: c, Pools: []share.CustomerView{v}}
 }
 func (r *stub) Drain()                          { r.draining = true }
 func (r *stub) SetLink(msg.RouterID, bool) bool { return false }
--- a/internal/router/mirror.go
+++ b/internal/router/mirror.go
@@ -97,10 +97,10 @@
 		Grants:    stats.Granted,
 		Returns:   stats.Returned,
 		Expired:   stats.Expired,
-		Estimates: stats.Estimates,
-		Estimated: stats.Estimated,
-		Actual:    stats.Actual,
-		AbsErr:    stats.AbsError,
+		Estimates: stats.EstimatedRequests,
+		Estimated: stats.EstimatedCost,
+		Actual:    stats.ActualCost,
+		AbsErr:    stats.AbsoluteError,
 	}
 	for _, v := range r.sharer.ServerViews() {
 		state.Servers[v.Server] = metrics.ServerState{
@@ -131,7 +131,7 @@
 	}
 	for _, v := range r.sharer.Views() {
 		put(v.Pool, v.Customer, func(s *metrics.Share) {
-			s.Backlog, s.Wait, s.Reason = v.Waiting, metrics.InSeconds(v.LongestNs), v.WaitingFor
+			s.Backlog, s.Wait, s.Reason = v.Waiting, metrics.InSeconds(v.LongestWait), v.WaitingFor
 		})
 	}
 	return pools
--- a/internal/sharing/inputs.go
+++ b/internal/sharing/inputs.go
@@ -12,7 +12,7 @@
 
 // Step takes a peer's message.
 func (s *Sharer) Step(from msg.RouterID, m *share.Message) {
-	s.do(func(n *share.Node, now time.Duration) { n.Step(now, from, m) })
+	s.do(func(n *share.Node, now time.Duration) { n.HandleMessage(now, from, m) })
 }
 
 // SetMembers replaces the live routers. Their incarnations are their starts in
@@ -70,12 +70,12 @@
 
 // Reconnected says that the link to a peer works anew.
 func (s *Sharer) Reconnected(peer msg.RouterID) {
-	s.do(func(n *share.Node, now time.Duration) { n.Reconnected(now, peer) })
+	s.do(func(n *share.Node, now time.Duration) { n.HandleReconnect(now, peer) })
 }
 
 // SetSettings says which version of the settings is in force here.
 func (s *Sharer) SetSettings(version uint64) {
-	s.do(func(n *share.Node, now time.Duration) { n.SetSettings(now, version) })
+	s.do(func(n *share.Node, now time.Duration) { n.SetSettingsVersion(now, version) })
 }
 
 // Load takes a server's load report.
@@ -83,7 +83,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.Slots = (r.Slots + s.split - 1) / s.split
-	s.locked(func(n *share.Node, now time.Duration) { n.Load(now, r) })
+	s.locked(func(n *share.Node, now time.Duration) { n.HandleLoadReport(now, r) })
 }
 
 // SetSplit divides the slots of every server among n routers that know nothing
@@ -116,10 +116,10 @@
 }
 
 // Views returns what the core holds of waiting and served customers.
-func (s *Sharer) Views() []share.View {
+func (s *Sharer) Views() []share.CustomerView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.node.Views()
+	return s.node.CustomerViews()
 }
 
 // ServerViews returns the backend servers that this router admits to.
@@ -132,7 +132,7 @@
 // Explanation says what a customer's requests wait for at this router.
 type Explanation struct {
 	Customer msg.CustomerID `json:"customer"`
-	Pools    []share.View   `json:"pools"`
+	Pools    []share.CustomerView   `json:"pools"`
 }
 
 // Explain returns why the customer's requests wait now.
--- a/internal/sharing/sharing.go
+++ b/internal/sharing/sharing.go
@@ -115,8 +115,8 @@
 	for _, id := range rd.Probe {
 		s.effects.Probe(id)
 	}
-	if rd.Settings > 0 {
-		s.effects.Newer(rd.Settings)
+	if rd.SettingsVersion > 0 {
+		s.effects.Newer(rd.SettingsVersion)
 	}
 }
 
@@ -136,7 +136,7 @@
 }
 
 // refused tells a waiting request that it gets no slot.
-func (s *Sharer) refused(r share.Refuse) {
+func (s *Sharer) refused(r share.Refusal) {
 	w, ok := s.waiting[r.Request]
 	if !ok {
 		return
--- a/internal/sharing/sharing_test.go
+++ b/internal/sharing/sharing_test.go
@@ -150,8 +150,8 @@
 			run(fmt.Sprint("unused", i), dispatch.Result{Outcome: attempt.NotSent})
 		}
 		run("1", dispatch.Result{Outcome: attempt.Ended, Cost: 900, First: time.Millisecond})
-		assert.Equal(t, s.Stats(), share.Stats{Granted: 52, Returned: 52, Estimates: 2,
-			Estimated: 1 + 1000, Actual: 1900, AbsError: 999 + 100})
+		assert.Equal(t, s.Stats(), share.Stats{Granted: 52, Returned: 52, EstimatedRequests: 2,
+			EstimatedCost: 1 + 1000, ActualCost: 1900, AbsoluteError: 999 + 100})
 	})
 }
 
