--- a/internal/core/share/tree.go
+++ b/internal/core/share/tree.go
@@ -143,7 +143,8 @@
 }
 
 // interval returns the time between two merges. A larger fleet merges less
-// often, as it sends its totals over more edges and tolerates coarser counters.
+// often, as it sends its totals over more edges and divides the service in
+// coarser portions.
 func (t *tree) interval() time.Duration {
 	if set := t.n.cfg.MergeInterval; set > 0 {
 		return set
