--- a/internal/core/member/fuzz_test.go
+++ b/internal/core/member/fuzz_test.go
@@ -9,14 +9,15 @@
 	"github.com/windscale/windscale/internal/wire"
 )
 
-// FuzzStep gives a node whatever a peer may send, as a message and as a view:
-// no panic, bounded state, and the node stays in its own view, unchanged.
+// FuzzStep passes arbitrary peer data to a node, as a message and as a sync
+// message. The node must not panic, its state must stay bounded, and its own
+// entry in the view must not change.
 func FuzzStep(f *testing.F) {
 	seeds := []Message{
 		{Type: Ping, Seq: 1, Incarnation: 1, Digest: 7},
 		{Type: Ack, Seq: 1, Incarnation: 1, Target: "r2"},
 		{Type: PingRequest, Seq: 1, Incarnation: 1, Target: "r3"},
-		{Type: Gossip, Incarnation: 1, Settings: 9, Updates: []Update{
+		{Type: Gossip, Incarnation: 1, SettingsVersion: 9, Updates: []Update{
 			{ID: "r1", Incarnation: firstIncarnation + 1, State: Dead},
 			{ID: "r1", Incarnation: firstIncarnation + 2, State: Alive},
 			{ID: "r3", Incarnation: 1, State: Left},
@@ -29,17 +30,17 @@
 		assert.NilError(f, err)
 		f.Add(data)
 	}
-	full, err := wire.Marshal(Full{Updates: seeds[3].Updates})
+	full, err := wire.Marshal(SyncMessage{Updates: seeds[3].Updates})
 	assert.NilError(f, err)
 	f.Add(full)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		w := startAll(1, 3)
+		w := startNetwork(1, 3)
 		n := w.nodes["r1"]
 		var m Message
 		if wire.Unmarshal(data, 1<<16, &m) == nil {
 			n.Step(w.now, "r2", m)
 		}
-		var view Full
+		var view SyncMessage
 		if wire.Unmarshal(data, 1<<16, &view) == nil {
 			n.SyncReply(w.now, view)
 			n.SyncDone(w.now, view)
@@ -55,12 +56,12 @@
 				return
 			}
 		}
-		t.Fatal("not in its own view")
+		t.Fatal("node is missing from its own view")
 	})
 }
 
 func TestRefutationNumberDoesNotWrap(t *testing.T) {
-	n := startAll(1, 2).nodes["r1"]
+	n := startNetwork(1, 2).nodes["r1"]
 	claim := n.self
 	claim.State, claim.Refutation = Dead, 1<<32-1
 	n.Step(time.Second, "r2", Message{Type: Gossip, Incarnation: firstIncarnation + 1, Updates: []Update{claim}})
--- a/internal/core/member/golden_test.go
+++ b/internal/core/member/golden_test.go
@@ -12,12 +12,12 @@
 // testdata that an earlier release wrote, and decodes those bytes.
 func TestEncodedBytesStay(t *testing.T) {
 	golden.Check(t, "message.cbor", cbor.Marshal, cbor.Unmarshal, Message{
-		Type:        1,
-		Seq:         3,
-		Incarnation: 4,
-		Target:      "s5",
-		Settings:    6,
-		Digest:      7,
+		Type:            1,
+		Seq:             3,
+		Incarnation:     4,
+		Target:          "s5",
+		SettingsVersion: 6,
+		Digest:          7,
 		Updates: []Update{Update{
 			ID:          "s10",
 			Incarnation: 11,
@@ -26,7 +26,7 @@
 			State:       1,
 		}},
 	})
-	golden.Check(t, "full.cbor", cbor.Marshal, cbor.Unmarshal, Full{Updates: []Update{Update{
+	golden.Check(t, "full.cbor", cbor.Marshal, cbor.Unmarshal, SyncMessage{Updates: []Update{Update{
 		ID:          "s18",
 		Incarnation: 19,
 		Refutation:  20,
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,15 +1,16 @@
-// Package member decides which routers are members of the fleet. It follows
-// SWIM (Das, Gupta, Motivala 2002): probes, indirect probes through others, a
-// suspicion time in which a member can refute, and updates that are piggybacked
-// on the probes. It differs in whom a router talks to: members stand on a ring in
-// the order of their IDs' hashes; each probes the one behind it and passes
-// changes on to those 1, 2, 4, 8, ... places behind it. So each member is
-// probed once a period, a change reaches all in log2(n) hops, and a router
-// keeps connections to a few others only.
+// Package member implements the membership protocol of the fleet's routers. It
+// follows SWIM (Das, Gupta, Motivala 2002): direct probes, indirect probes
+// through other members, a suspicion timeout during which a member can refute,
+// and updates piggybacked on probes. Unlike SWIM, peers are not chosen at
+// random: members form a ring ordered by the hashes of their IDs, each member
+// probes its successor and gossips changes to its fingers, the members 1, 2, 4,
+// 8, ... positions after it. Each member is therefore probed once per period, a
+// change reaches all members in log2(n) hops, and a router keeps connections to
+// only a few others.
 //
-// The package has no input or output. Time is the monotonic time since the
-// process started, randomness comes from the configuration. A [Node] belongs
-// to one goroutine.
+// The package performs no I/O. Times are monotonic durations since the process
+// started, and randomness comes from the configuration. A [Node] must be used
+// by one goroutine only.
 package member
 
 import (
@@ -21,52 +22,52 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Times of the protocol. A member that is killed is out of all views after at
-// most ProbePeriod + ProbeFailure + SuspicionTime and a few ticks.
+// Timing of the protocol. A killed member is removed from all views within
+// ProbePeriod + ProbeFailure + SuspicionTime and a few ticks.
 const (
-	TickPeriod    = 100 * time.Millisecond // how often Tick should be called
+	TickPeriod    = 100 * time.Millisecond // interval at which Tick is expected to be called
 	ProbePeriod   = time.Second
-	ProbeTimeout  = 300 * time.Millisecond // then others are asked to probe
-	ProbeFailure  = 800 * time.Millisecond // then the member is suspect
+	ProbeTimeout  = 300 * time.Millisecond // after it, other members are asked to probe
+	ProbeFailure  = 800 * time.Millisecond // after it, the member becomes Suspect
 	SuspicionTime = 1500 * time.Millisecond
 
-	tombstoneTime = 10 * time.Minute       // dead members are remembered this long
-	pauseMin      = 500 * time.Millisecond // between two ticks: this process was paused
-	syncGap       = 500 * time.Millisecond // between two whole-view exchanges begun here
-	contactMin    = 2 * time.Second        // between tries to reach who is not a member
-	contactMax    = 30 * time.Second
-	relayTime     = time.Second // for the answer to a probe on behalf of another
+	tombstoneTTL      = 10 * time.Minute       // how long Dead and Left members are remembered
+	minPause          = 500 * time.Millisecond // gap between ticks from which the process counts as paused
+	minSyncInterval   = 500 * time.Millisecond // between view synchronizations started by this router
+	minAbsentInterval = 2 * time.Second        // between pings to routers outside the view
+	maxAbsentInterval = 30 * time.Second
+	relayTimeout      = time.Second // for the Ack to a Ping sent for another router
 )
 
-// Bounds of the protocol.
+// Limits of the protocol.
 const (
-	indirectProbes  = 2
-	fingerEvery     = 8  // periods between probes of another finger
-	retransmissions = 3  // an update is piggybacked this often on probes after it was passed on
-	maxPiggyback    = 8  // updates on one probe
-	maxUpdates      = 32 // updates in one Gossip
-	maxMembers      = 4096
-	maxName         = 64 // bytes of an ID or a data centre
-	maxRelays       = 256
-	mismatches      = 2 // differing digests in a row from a peer before views are exchanged
+	indirectProbes      = 2
+	fingerProbePeriods  = 8  // probe periods between probes of a finger other than the successor
+	retransmissions     = 3  // times an update is piggybacked after it was gossiped
+	maxPiggyback        = 8  // updates per Ping or Ack
+	maxUpdates          = 32 // updates per Gossip
+	maxMembers          = 4096
+	maxNameLen          = 64 // bytes of a router ID or data centre name
+	maxRelays           = 256
+	syncAfterMismatches = 2 // consecutive digest mismatches with a peer that trigger a sync
 )
 
-// Config says who this router is.
+// Config identifies this router.
 type Config struct {
 	ID          msg.RouterID
-	Incarnation uint64 // higher at each start of the process
+	Incarnation uint64 // increases with each start of the process
 	DataCentre  string
 	Rand        *rand.Rand
 }
 
-// Candidate is a router that may exist: a seed, or an entry of the lagging
-// host list.
+// Candidate is a router that may exist: a seed, or an entry of the host list,
+// which lags behind the fleet.
 type Candidate struct {
 	ID      msg.RouterID
 	Leaving bool
 }
 
-// Member is a router in the view.
+// Member is a router in the membership view.
 type Member struct {
 	ID          msg.RouterID
 	Incarnation uint64
@@ -74,72 +75,74 @@
 	State       State // Alive, Leaving or Suspect
 }
 
-// NewerSettings says that a peer has a higher settings version in force.
+// NewerSettings reports a peer that has applied a higher settings version.
 type NewerSettings struct {
 	From    msg.RouterID
 	Version uint64
 }
 
-// Ready is what the caller has to do.
+// Ready holds the actions that the caller must carry out.
 type Ready struct {
 	Send []Outgoing
-	// Sync names routers to exchange views with: send them SyncRequest over a
-	// conversation and give the answer to SyncDone.
+	// Sync lists routers to synchronize views with: the caller sends each the
+	// result of SyncRequest over a reliable connection and passes the reply to
+	// SyncDone.
 	Sync []msg.RouterID
-	// Changed says that Members differs from what it was.
+	// Changed is set when the result of Members has changed.
 	Changed bool
-	// Newer is set when a peer has newer settings than this router.
+	// Newer is set when a peer has applied newer settings than this router.
 	Newer NewerSettings
-	// Superseded is set when the fleet knows a higher incarnation of this
-	// router: the process must start again with a higher one than this.
+	// Superseded is set to an incarnation that this router cannot override,
+	// because the fleet knows a higher one than its own or because it cannot be
+	// refuted any more. The process must restart with a higher incarnation.
 	Superseded uint64
 }
 
-// Node is one router's view of the fleet.
+// Node is the protocol state of one router.
 type Node struct {
-	config   Config
-	self     Update
-	settings uint64
-	members  map[msg.RouterID]*entry // without self
-	order    []msg.RouterID          // keys of members, sorted
-	hints    map[msg.RouterID]Candidate
-	contacts []msg.RouterID // keys of hints, sorted
-
-	ring   []place // nil: to be rebuilt
+	config          Config
+	self            Update
+	settingsVersion uint64
+	members         map[msg.RouterID]*entry // excludes this router
+	order           []msg.RouterID          // sorted keys of members
+	candidates      map[msg.RouterID]Candidate
+	candidateIDs    []msg.RouterID // sorted keys of candidates
+
+	ring   []ringEntry // nil: must be rebuilt
 	digest uint64
 	joined bool
 
-	lastTick    time.Duration
-	nextProbe   time.Duration
-	nextContact time.Duration
-	contactTurn int // starts at random, so that routers turn to different ones
-	nextSync    time.Duration
-	nextFlood   time.Duration
-	periods     int
-	seq         uint64
-	probes      []probe
-	relays      []relay
+	lastTick        time.Duration
+	nextProbe       time.Duration
+	nextAbsentProbe time.Duration
+	absentIndex     int // random at start, so that routers pick different targets
+	nextSync        time.Duration
+	nextGossip      time.Duration
+	periods         int
+	seq             uint64
+	probes          []probe
+	relays          []relay
 
-	fresh     []msg.RouterID       // to be passed on at once
-	piggyback map[msg.RouterID]int // to go with probes this many times more
-	announce  bool                 // settings are to be passed on
-	ready     Ready
+	pendingGossip    []msg.RouterID       // updates to gossip to the fingers at the next opportunity
+	piggyback        map[msg.RouterID]int // remaining piggyback transmissions by member
+	announceSettings bool                 // the settings version must be gossiped
+	ready            Ready
 }
 
-// entry is what a node knows of another router.
+// entry is the state kept for another router.
 type entry struct {
 	Update
-	deadline time.Duration // of a Suspect: when dead; of a Dead or Left: when forgotten
-	differ   int           // differing digests in a row
+	deadline         time.Duration // Suspect: when it is declared dead; Dead or Left: when it is removed
+	digestMismatches int           // consecutive
 }
 
-// New returns a node that knows only itself.
+// New returns a node whose view contains only itself.
 func New(config Config) *Node {
 	n := &Node{
-		config:    config,
-		members:   map[msg.RouterID]*entry{},
-		hints:     map[msg.RouterID]Candidate{},
-		piggyback: map[msg.RouterID]int{},
+		config:     config,
+		members:    map[msg.RouterID]*entry{},
+		candidates: map[msg.RouterID]Candidate{},
+		piggyback:  map[msg.RouterID]int{},
 		self: Update{
 			ID:          config.ID,
 			Incarnation: config.Incarnation,
@@ -148,78 +151,81 @@
 		},
 	}
 	n.nextProbe = time.Duration(config.Rand.Int64N(int64(ProbePeriod)))
-	n.contactTurn = config.Rand.IntN(maxMembers)
+	n.absentIndex = config.Rand.IntN(maxMembers)
 	n.disseminate(n.self.ID)
 	return n
 }
 
-// Candidates replaces the routers that may exist. Being on the list makes no
-// router a member; one that is marked leaving there is shown as leaving.
-func (n *Node) Candidates(now time.Duration, list []Candidate) {
-	hints := make(map[msg.RouterID]Candidate, len(list))
+// SetCandidates replaces the list of candidates. A candidate is not a member
+// until it has been heard of through the protocol. A member that the list marks
+// as leaving is reported as Leaving.
+func (n *Node) SetCandidates(now time.Duration, list []Candidate) {
+	candidates := make(map[msg.RouterID]Candidate, len(list))
 	for _, c := range list {
-		if c.ID == n.self.ID || len(c.ID) > maxName {
+		if c.ID == n.self.ID || len(c.ID) > maxNameLen {
 			continue
 		}
-		hints[c.ID] = c
-		if hints[c.ID].Leaving != n.hints[c.ID].Leaving {
+		candidates[c.ID] = c
+		if candidates[c.ID].Leaving != n.candidates[c.ID].Leaving {
 			n.ready.Changed = true
 		}
 	}
-	n.hints = hints
-	n.contacts = n.contacts[:0]
-	for id := range hints {
-		n.contacts = append(n.contacts, id)
+	n.candidates = candidates
+	n.candidateIDs = n.candidateIDs[:0]
+	for id := range candidates {
+		n.candidateIDs = append(n.candidateIDs, id)
 	}
-	slices.Sort(n.contacts)
+	slices.Sort(n.candidateIDs)
 	if !n.joined {
-		n.nextContact = now
+		n.nextAbsentProbe = now
 	}
 }
 
-// SetSettings tells the settings version in force here, which is passed on.
-func (n *Node) SetSettings(now time.Duration, version uint64) {
-	if version <= n.settings {
+// SetSettingsVersion records the settings version that this router has applied
+// and gossips it. A version that is not higher than the last one is ignored.
+func (n *Node) SetSettingsVersion(now time.Duration, version uint64) {
+	if version <= n.settingsVersion {
 		return
 	}
-	n.settings = version
-	n.announce = true
-	n.flood(now)
+	n.settingsVersion = version
+	n.announceSettings = true
+	n.gossipPending(now)
 }
 
-// Leave announces that this router finishes its work and takes no more.
-func (n *Node) Leave(now time.Duration) { n.end(now, Leaving) }
+// StartLeaving announces that this router is draining: it finishes its requests
+// and accepts no new ones.
+func (n *Node) StartLeaving(now time.Duration) { n.setOwnState(now, Leaving) }
 
-// Depart announces the end of this process. Nothing is to be called after it
-// but Ready.
-func (n *Node) Depart(now time.Duration) {
-	n.nextFlood = now
-	n.end(now, Left)
+// AnnounceLeft announces the end of this process. Only Ready may be called
+// after it.
+func (n *Node) AnnounceLeft(now time.Duration) {
+	n.nextGossip = now
+	n.setOwnState(now, Left)
 }
 
-func (n *Node) end(now time.Duration, state State) {
+func (n *Node) setOwnState(now time.Duration, state State) {
 	if n.self.State >= state {
 		return
 	}
 	n.self.State = state
 	n.self.Refutation++
-	n.changed()
+	n.viewChanged()
 	n.disseminate(n.self.ID)
-	n.flood(now)
+	n.gossipPending(now)
 }
 
-// Joined says whether this router has exchanged views with another.
+// Joined reports whether this router has synchronized views with another.
 func (n *Node) Joined() bool { return n.joined }
 
-// Ready returns what is to be done and forgets it. It is called after each
-// other call.
+// Ready returns the pending actions and clears them. It must be called after
+// every other call that may change the node.
 func (n *Node) Ready() Ready {
 	r := n.ready
 	n.ready = Ready{}
 	return r
 }
 
-// Members returns the view, this router included, in the order of IDs.
+// Members returns the view, including this router, sorted by ID.
 func (n *Node) Members() []Member {
 	list := []Member{n.member(n.self)}
 	for _, id := range n.order {
@@ -233,7 +239,7 @@
 
 func (n *Node) member(u Update) Member {
 	state := u.State
-	if state == Alive && n.hints[u.ID].Leaving {
+	if state == Alive && n.candidates[u.ID].Leaving {
 		state = Leaving
 	}
 	return Member{ID: u.ID, Incarnation: u.Incarnation, DataCentre: u.DataCentre, State: state}
@@ -241,12 +247,12 @@
 
 func (n *Node) send(to msg.RouterID, m Message) {
 	m.Incarnation = n.self.Incarnation
-	m.Settings = n.settings
+	m.SettingsVersion = n.settingsVersion
 	n.ready.Send = append(n.ready.Send, Outgoing{To: to, Message: m})
 }
 
-// changed notes that the view differs.
-func (n *Node) changed() {
+// viewChanged invalidates the ring and the digest and reports the change.
+func (n *Node) viewChanged() {
 	n.ring = nil
 	n.ready.Changed = true
 }
--- a/internal/core/member/message.go
+++ b/internal/core/member/message.go
@@ -6,17 +6,17 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// State is what a router holds another to be.
+// State is the state of a member as seen by one router.
 type State uint8
 
-// The states, in the order in which one overrides another that speaks of the
-// same incarnation and refutation.
+// The states in order of precedence: of two updates with the same incarnation
+// and refutation number, the later state overrides the earlier one.
 const (
 	Alive   State = iota + 1
-	Leaving       // alive, finishing its work
-	Suspect       // did not answer; dead unless it refutes in time
-	Dead          // taken for dead; only the member itself can refute it
-	Left          // announced its own end
+	Leaving       // alive and draining
+	Suspect       // missed a probe; declared dead unless it refutes in time
+	Dead          // declared dead; only the member itself can refute it
+	Left          // announced that its process ends
 )
 
 var stateNames = [...]string{Alive: "alive", Leaving: "leaving", Suspect: "suspect", Dead: "dead", Left: "left"}
@@ -29,24 +29,24 @@
 	return stateNames[s]
 }
 
-// present says whether a member of this state is in the view.
+// present reports whether a member in this state is part of the view.
 func (s State) present() bool { return s >= Alive && s <= Suspect }
 
-// Update is what one router tells another about a member. Of two updates the
-// one with the higher incarnation holds, then the one with the higher
-// refutation, then the one with the later state.
+// Update is the state of one member as sent between routers. Of two updates,
+// the one with the higher incarnation takes precedence, then the one with the
+// higher refutation number, then the one with the later state.
 type Update struct {
 	ID msg.RouterID `cbor:"1,keyasint"`
-	// Incarnation is that of the member's process.
+	// Incarnation identifies the run of the member's process.
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Refutation is raised by the member itself to override what is wrongly
-	// said of this incarnation, and when it begins to leave.
+	// Refutation is incremented only by the member itself, to override wrong
+	// updates about this incarnation and to announce Leaving or Left.
 	Refutation uint32 `cbor:"3,keyasint,omitempty"`
 	DataCentre string `cbor:"4,keyasint,omitempty"`
 	State      State  `cbor:"5,keyasint"`
 }
 
-// newer says whether u overrides v.
+// newer reports whether u overrides v.
 func (u Update) newer(v Update) bool {
 	order := cmp.Or(
 		cmp.Compare(u.Incarnation, v.Incarnation),
@@ -57,35 +57,35 @@
 }
 
 func (u Update) valid() bool {
-	return u.ID != "" && len(u.ID) <= maxName && len(u.DataCentre) <= maxName &&
+	return u.ID != "" && len(u.ID) <= maxNameLen && len(u.DataCentre) <= maxNameLen &&
 		u.State >= Alive && u.State <= Left
 }
 
-// MessageType says what a message asks or answers.
+// MessageType is the kind of a message.
 type MessageType uint8
 
-// The types of message.
+// The message types.
 const (
-	Ping        MessageType = iota + 1 // asks for an Ack
+	Ping        MessageType = iota + 1 // requests an Ack
 	Ack                                // answers a Ping or a PingRequest
-	PingRequest                        // asks to ping Target and to pass on its Ack
+	PingRequest                        // requests a Ping of Target and the relay of its Ack
 	Gossip                             // carries updates only
 )
 
-// Message is what routers send each other, best effort.
+// Message is a best-effort message between routers.
 type Message struct {
-	Type        MessageType  `cbor:"1,keyasint"`
-	Seq         uint64       `cbor:"2,keyasint,omitempty"` // of the Ping; 0: no probe waits for it
-	Incarnation uint64       `cbor:"3,keyasint"`           // the sender's
-	Target      msg.RouterID `cbor:"4,keyasint,omitempty"`
-	Settings    uint64       `cbor:"5,keyasint,omitempty"` // version in force at the sender
-	Digest      uint64       `cbor:"6,keyasint,omitempty"` // of the sender's view; on Ping only
-	Updates     []Update     `cbor:"7,keyasint,omitempty"`
+	Type            MessageType  `cbor:"1,keyasint"`
+	Seq             uint64       `cbor:"2,keyasint,omitempty"` // of the Ping; 0: no probe waits for the Ack
+	Incarnation     uint64       `cbor:"3,keyasint"`           // the sender's
+	Target          msg.RouterID `cbor:"4,keyasint,omitempty"`
+	SettingsVersion uint64       `cbor:"5,keyasint,omitempty"` // applied by the sender
+	Digest          uint64       `cbor:"6,keyasint,omitempty"` // of the sender's view; in Ping only
+	Updates         []Update     `cbor:"7,keyasint,omitempty"`
 }
 
-// Full is a whole view, or the part of one that the other side lacks. It goes
-// over a reliable conversation.
-type Full struct {
+// SyncMessage carries a whole view, or the part of it that the other side
+// lacks. It is sent over a reliable connection.
+type SyncMessage struct {
 	Updates []Update `cbor:"1,keyasint"`
 }
 
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -7,25 +7,25 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// probe is a Ping that waits for its Ack.
+// probe is a Ping whose Ack is pending.
 type probe struct {
 	seq         uint64
 	target      msg.RouterID
 	incarnation uint64
 	start       time.Duration
-	indirect    bool // others were asked
+	indirect    bool // PingRequests have been sent
 }
 
-// relay is a Ping sent on behalf of another router.
+// relay is a Ping sent for a PingRequest of another router.
 type relay struct {
-	seq       uint64 // of our Ping
+	seq       uint64 // of the Ping to target
 	origin    msg.RouterID
 	originSeq uint64
 	target    msg.RouterID
 	deadline  time.Duration
 }
 
-// Tick lets time pass. It is called each TickPeriod.
+// Tick advances the node's timers. It must be called every TickPeriod.
 func (n *Node) Tick(now time.Duration) {
 	n.extendDeadlines(now)
 	n.checkProbes(now)
@@ -38,18 +38,18 @@
 		}
 		n.startProbes(now)
 	}
-	if now >= n.nextContact {
-		n.contact(now)
+	if now >= n.nextAbsentProbe {
+		n.probeAbsent(now)
 	}
-	n.flood(now)
+	n.gossipPending(now)
 }
 
-// extendDeadlines extends them by the time for which this process was paused: no
-// answer could have been heard in it.
+// extendDeadlines extends probe and suspicion deadlines by the time for which
+// this process was paused, during which it could not receive answers.
 func (n *Node) extendDeadlines(now time.Duration) {
 	pause := now - n.lastTick
 	n.lastTick = now
-	if pause < pauseMin {
+	if pause < minPause {
 		return
 	}
 	for i := range n.probes {
@@ -62,7 +62,8 @@
 	}
 }
 
-// startProbes probes the successor, and now and then another finger.
+// startProbes probes the successor and, every fingerProbePeriods periods, one
+// of the other fingers in turn.
 func (n *Node) startProbes(now time.Duration) {
 	target := n.successor()
 	if target == "" {
@@ -71,9 +72,9 @@
 	n.probe(now, target)
 	n.periods++
 	fingers := n.fingers()
-	if n.periods%fingerEvery == 0 && len(fingers) > 1 {
-		turn := n.periods / fingerEvery % (len(fingers) - 1)
-		n.probe(now, fingers[1+turn])
+	if n.periods%fingerProbePeriods == 0 && len(fingers) > 1 {
+		index := n.periods / fingerProbePeriods % (len(fingers) - 1)
+		n.probe(now, fingers[1+index])
 	}
 }
 
@@ -86,28 +87,28 @@
 
 func (n *Node) ping(to msg.RouterID, seq uint64) {
 	updates := n.piggybacked()
-	// A member that is not held alive hears so, and can refute.
+	// Tell a suspect or dead member about its state, so that it can refute it.
 	if e, ok := n.members[to]; ok && e.State >= Suspect {
-		updates = with(updates, e.Update)
+		updates = appendUnique(updates, e.Update)
 	}
 	if !n.joined {
-		updates = with(updates, n.self)
+		updates = appendUnique(updates, n.self)
 	}
-	n.view() // renews the digest
+	n.currentRing() // updates the digest
 	n.send(to, Message{Type: Ping, Seq: seq, Digest: n.digest, Updates: updates})
 }
 
-// with adds an update unless it is there.
-func with(updates []Update, u Update) []Update {
+func appendUnique(updates []Update, u Update) []Update {
 	if slices.Contains(updates, u) {
 		return updates
 	}
 	return append(updates, u)
 }
 
-// checkProbes asks others for help with a late Ack and ends what is overdue.
+// checkProbes starts indirect probes after ProbeTimeout and suspects members
+// that have not answered within ProbeFailure.
 func (n *Node) checkProbes(now time.Duration) {
-	var open []probe
+	var pending []probe
 	for _, p := range n.probes {
 		e, ok := n.members[p.target]
 		if !ok || e.Incarnation != p.incarnation || !e.State.present() {
@@ -119,11 +120,11 @@
 		}
 		if now-p.start >= ProbeTimeout && !p.indirect {
 			p.indirect = true
-			n.askOthers(p)
+			n.sendPingRequests(p)
 		}
-		open = append(open, p)
+		pending = append(pending, p)
 	}
-	n.probes = open
+	n.probes = pending
 }
 
 func (n *Node) suspect(now time.Duration, e *entry) {
@@ -132,53 +133,55 @@
 	n.apply(now, u)
 }
 
-// askOthers sends PingRequests, to fingers first: links to them are open.
-func (n *Node) askOthers(p probe) {
+// sendPingRequests requests indirect probes, preferably from fingers, because
+// connections to them are already open.
+func (n *Node) sendPingRequests(p probe) {
 	usable := func(id msg.RouterID) bool {
 		return id != p.target && n.members[id].State != Suspect
 	}
-	helpers := slices.DeleteFunc(n.fingers(), func(id msg.RouterID) bool { return !usable(id) })
-	n.config.Rand.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
-	for _, place := range n.view()[1:] {
-		if len(helpers) >= indirectProbes {
+	relays := slices.DeleteFunc(n.fingers(), func(id msg.RouterID) bool { return !usable(id) })
+	n.config.Rand.Shuffle(len(relays), func(i, j int) { relays[i], relays[j] = relays[j], relays[i] })
+	for _, other := range n.currentRing()[1:] {
+		if len(relays) >= indirectProbes {
 			break
 		}
-		if usable(place.id) && !slices.Contains(helpers, place.id) {
-			helpers = append(helpers, place.id)
+		if usable(other.id) && !slices.Contains(relays, other.id) {
+			relays = append(relays, other.id)
 		}
 	}
-	for _, id := range helpers[:min(len(helpers), indirectProbes)] {
+	for _, id := range relays[:min(len(relays), indirectProbes)] {
 		n.send(id, Message{Type: PingRequest, Seq: p.seq, Target: p.target})
 	}
 }
 
-// contact pings one router that may exist but is not in the view: a
-// candidate, or a member taken for dead that may sit behind a partition. All
-// routers together do so about once a second.
-func (n *Node) contact(now time.Duration) {
-	others := len(n.view()) - 1
-	n.nextContact = now + min(max(time.Duration(others)*time.Second, contactMin), contactMax)
+// probeAbsent pings one router that may exist but is not in the view: a
+// candidate, or a dead member that may be behind a network partition. The
+// interval grows with the size of the fleet, so that all routers together send
+// about one such ping per second.
+func (n *Node) probeAbsent(now time.Duration) {
+	peerCount := len(n.currentRing()) - 1
+	n.nextAbsentProbe = now + min(max(time.Duration(peerCount)*time.Second, minAbsentInterval), maxAbsentInterval)
 	if !n.joined {
-		n.nextContact = now + ProbePeriod
+		n.nextAbsentProbe = now + ProbePeriod
 	}
 	absent := n.absent()
 	if len(absent) == 0 {
 		return
 	}
-	n.contactTurn++
-	n.ping(absent[n.contactTurn%len(absent)], 0)
+	n.absentIndex++
+	n.ping(absent[n.absentIndex%len(absent)], 0)
 }
 
-// absent lists who may exist but is not in the view.
+// absent returns the candidates and dead members that are not in the view.
 func (n *Node) absent() []msg.RouterID {
 	var list []msg.RouterID
-	for _, id := range n.contacts {
+	for _, id := range n.candidateIDs {
 		if e, ok := n.members[id]; !ok || !e.State.present() {
 			list = append(list, id)
 		}
 	}
 	for _, id := range n.order {
-		if _, listed := n.hints[id]; n.members[id].State == Dead && !listed {
+		if _, listed := n.candidates[id]; n.members[id].State == Dead && !listed {
 			list = append(list, id)
 		}
 	}
--- a/internal/core/member/step.go
+++ b/internal/core/member/step.go
@@ -7,33 +7,34 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Step takes a message from another router.
+// Step handles a message from another router.
 func (n *Node) Step(now time.Duration, from msg.RouterID, m Message) {
-	if from == n.self.ID || len(from) > maxName || n.self.State == Left {
+	if from == n.self.ID || len(from) > maxNameLen || n.self.State == Left {
 		return
 	}
-	if n.outdated(from, m) {
+	if n.isOutdated(from, m) {
 		return
 	}
 	for _, u := range m.Updates[:min(len(m.Updates), maxUpdates+maxPiggyback)] {
 		n.apply(now, u)
 	}
-	n.noteSettings(from, m.Settings)
-	n.compare(now, from, m)
+	n.noteSettingsVersion(from, m.SettingsVersion)
+	n.compareViews(now, from, m)
 	switch m.Type {
 	case Ping:
-		n.ack(from, m.Seq)
+		n.sendAck(from, m.Seq)
 	case Ack:
-		n.acked(from, m)
+		n.handleAck(from, m)
 	case PingRequest:
-		n.relay(now, from, m)
+		n.relayPing(now, from, m)
 	}
-	n.flood(now)
+	n.gossipPending(now)
 }
 
-// outdated says whether a message comes from an incarnation that is over. It
-// is told so, in case it lives and its incarnation was badly chosen.
-func (n *Node) outdated(from msg.RouterID, m Message) bool {
+// isOutdated reports whether a message comes from an older incarnation than the
+// known one. A Ping from it is answered with the known incarnation, in case the
+// sender is running and was started with too low an incarnation.
+func (n *Node) isOutdated(from msg.RouterID, m Message) bool {
 	e, ok := n.members[from]
 	if !ok || m.Incarnation >= e.Incarnation {
 		return false
@@ -44,23 +45,23 @@
 	return true
 }
 
-func (n *Node) noteSettings(from msg.RouterID, version uint64) {
-	if version > n.settings && version > n.ready.Newer.Version {
+func (n *Node) noteSettingsVersion(from msg.RouterID, version uint64) {
+	if version > n.settingsVersion && version > n.ready.Newer.Version {
 		n.ready.Newer = NewerSettings{From: from, Version: version}
 	}
 }
 
-func (n *Node) ack(to msg.RouterID, seq uint64) {
+func (n *Node) sendAck(to msg.RouterID, seq uint64) {
 	updates := n.piggybacked()
 	if e, ok := n.members[to]; ok && e.State >= Suspect {
-		updates = with(updates, e.Update)
+		updates = appendUnique(updates, e.Update)
 	}
 	n.send(to, Message{Type: Ack, Seq: seq, Updates: updates})
 }
 
-// acked ends the probe or relay that the Ack answers. A direct Ack comes
-// from the target, an indirect one names it.
-func (n *Node) acked(from msg.RouterID, m Message) {
+// handleAck completes the probe or relay that the Ack answers. A direct Ack is
+// sent by the target; a relayed one names it in Target.
+func (n *Node) handleAck(from msg.RouterID, m Message) {
 	target := from
 	if m.Target != "" {
 		target = m.Target
@@ -77,8 +78,8 @@
 	}
 }
 
-// relay pings the target for another router.
-func (n *Node) relay(now time.Duration, from msg.RouterID, m Message) {
+// relayPing pings the target of a PingRequest.
+func (n *Node) relayPing(now time.Duration, from msg.RouterID, m Message) {
 	e, ok := n.members[m.Target]
 	if !ok || !e.State.present() || len(n.relays) >= maxRelays {
 		return
@@ -89,14 +90,14 @@
 		origin:    from,
 		originSeq: m.Seq,
 		target:    m.Target,
-		deadline:  now + relayTime,
+		deadline:  now + relayTimeout,
 	})
 	n.ping(m.Target, n.seq)
 }
 
-// compare starts an exchange of views with a sender whose view differs, or
-// that is not in the view itself.
-func (n *Node) compare(now time.Duration, from msg.RouterID, m Message) {
+// compareViews starts a sync with a sender that is not in the view, or whose
+// view digest has differed syncAfterMismatches times in a row.
+func (n *Node) compareViews(now time.Duration, from msg.RouterID, m Message) {
 	e, ok := n.members[from]
 	if !ok || e.Incarnation != m.Incarnation || !e.State.present() || !n.joined {
 		n.sync(now, from)
@@ -105,23 +106,24 @@
 	if m.Type != Ping {
 		return
 	}
-	n.view() // renews the digest
+	n.currentRing() // updates the digest
 	if m.Digest == n.digest {
-		e.differ = 0
-		n.settled()
+		e.digestMismatches = 0
+		n.dropConfirmedUpdates()
 		return
 	}
-	e.differ++
-	if e.differ >= mismatches {
-		e.differ = 0
+	e.digestMismatches++
+	if e.digestMismatches >= syncAfterMismatches {
+		e.digestMismatches = 0
 		n.sync(now, from)
 	}
 }
 
-// settled stops the repetition of updates, but for suspicions, which digests
-// do not show: the router before this one has the same view, and if another
-// has not, the one behind it finds out.
-func (n *Node) settled() {
+// dropConfirmedUpdates stops piggybacking updates after a matching digest: the
+// predecessor on the ring has the same view, and a router whose view differs is
+// detected by its successor. Suspicions are kept, because digests do not
+// include states.
+func (n *Node) dropConfirmedUpdates() {
 	for id := range n.piggyback {
 		if e, ok := n.members[id]; !ok || e.State != Suspect {
 			delete(n.piggyback, id)
@@ -129,51 +131,52 @@
 	}
 }
 
-func (n *Node) sync(now time.Duration, with msg.RouterID) {
+func (n *Node) sync(now time.Duration, peer msg.RouterID) {
 	if now < n.nextSync {
 		return
 	}
-	n.nextSync = now + syncGap
-	n.ready.Sync = append(n.ready.Sync, with)
+	n.nextSync = now + minSyncInterval
+	n.ready.Sync = append(n.ready.Sync, peer)
 }
 
-// SyncRequest returns this router's view, to be sent to one of Ready.Sync.
-func (n *Node) SyncRequest() Full {
-	full := Full{Updates: []Update{n.self}}
+// SyncRequest returns this router's whole view, to be sent to a router listed
+// in Ready.Sync.
+func (n *Node) SyncRequest() SyncMessage {
+	message := SyncMessage{Updates: []Update{n.self}}
 	for _, id := range n.order {
-		full.Updates = append(full.Updates, n.members[id].Update)
+		message.Updates = append(message.Updates, n.members[id].Update)
 	}
-	return full
+	return message
 }
 
-// SyncReply takes the view that another router sent and returns what is newer
-// here.
-func (n *Node) SyncReply(now time.Duration, request Full) Full {
+// SyncReply merges a view sent by another router and returns the updates in
+// which this router's view is newer.
+func (n *Node) SyncReply(now time.Duration, request SyncMessage) SyncMessage {
 	n.joined = true
 	n.merge(now, request)
-	theirs := make(map[msg.RouterID]Update, len(request.Updates))
+	peerUpdates := make(map[msg.RouterID]Update, len(request.Updates))
 	for _, u := range request.Updates {
-		theirs[u.ID] = u
+		peerUpdates[u.ID] = u
 	}
-	var reply Full
+	var reply SyncMessage
 	for _, u := range n.SyncRequest().Updates {
-		if u.newer(theirs[u.ID]) {
+		if u.newer(peerUpdates[u.ID]) {
 			reply.Updates = append(reply.Updates, u)
 		}
 	}
-	n.flood(now)
+	n.gossipPending(now)
 	return reply
 }
 
-// SyncDone takes the answer to a SyncRequest.
-func (n *Node) SyncDone(now time.Duration, reply Full) {
+// SyncDone merges the reply to a SyncRequest.
+func (n *Node) SyncDone(now time.Duration, reply SyncMessage) {
 	n.joined = true
 	n.merge(now, reply)
-	n.flood(now)
+	n.gossipPending(now)
 }
 
-func (n *Node) merge(now time.Duration, full Full) {
-	for _, u := range full.Updates[:min(len(full.Updates), maxMembers)] {
+func (n *Node) merge(now time.Duration, message SyncMessage) {
+	for _, u := range message.Updates[:min(len(message.Updates), maxMembers)] {
 		n.apply(now, u)
 	}
 }
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -8,7 +8,7 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// apply takes an update into the view if it is newer.
+// apply merges an update into the view if it is newer.
 func (n *Node) apply(now time.Duration, u Update) {
 	if !u.valid() {
 		return
@@ -22,61 +22,62 @@
 		n.insert(now, u)
 		return
 	}
-	// Nobody drops a member on another's word, but only after a suspicion time
-	// of its own, in which the member can refute: after a partition each side
-	// calls the other dead.
+	// A member is never removed on the report of another router alone, but only
+	// after a local suspicion timeout in which it can refute. After a network
+	// partition, each side reports the members of the other side as dead.
 	if u.State == Dead && e.State.present() {
 		u.State = Suspect
 	}
 	if u.newer(e.Update) {
-		n.set(now, e, u)
+		n.setUpdate(now, e, u)
 	}
 }
 
-// insert takes up a member not known before. The dead are not taken up, else
-// the routers would remind each other of them for ever.
+// insert adds a previously unknown member. Dead and Left members are not added;
+// otherwise routers would keep spreading expired tombstones to each other.
 func (n *Node) insert(now time.Duration, u Update) {
 	if !u.State.present() || len(n.members) >= maxMembers {
 		return
 	}
 	e := &entry{}
 	n.members[u.ID] = e
-	at, _ := slices.BinarySearch(n.order, u.ID)
-	n.order = slices.Insert(n.order, at, u.ID)
-	n.set(now, e, u)
+	index, _ := slices.BinarySearch(n.order, u.ID)
+	n.order = slices.Insert(n.order, index, u.ID)
+	n.setUpdate(now, e, u)
 }
 
-func (n *Node) set(now time.Duration, e *entry, u Update) {
+func (n *Node) setUpdate(now time.Duration, e *entry, u Update) {
 	e.Update = u
 	switch u.State {
 	case Suspect:
 		e.deadline = now + SuspicionTime
 	case Dead, Left:
-		e.deadline = now + tombstoneTime
+		e.deadline = now + tombstoneTTL
 	}
-	n.changed()
+	n.viewChanged()
 	n.disseminate(u.ID)
 }
 
-// applySelf hears what others say of this router, and refutes it if wrong.
+// applySelf handles an update about this router and refutes it if it is wrong.
 func (n *Node) applySelf(u Update) {
 	switch {
 	case u.Incarnation > n.self.Incarnation:
 		n.ready.Superseded = max(n.ready.Superseded, u.Incarnation)
 	case u.Incarnation < n.self.Incarnation:
-		n.disseminate(n.self.ID) // somebody has not heard of this incarnation
+		n.disseminate(n.self.ID) // the sender does not know this incarnation yet
 	case u.State < Suspect || u.Refutation < n.self.Refutation || n.self.State == Left:
 		return
 	case u.Refutation == math.MaxUint32:
-		n.ready.Superseded = u.Incarnation // it cannot be refuted
+		n.ready.Superseded = u.Incarnation // the refutation number cannot be increased further
 	default:
 		n.self.Refutation = u.Refutation + 1
-		n.changed()
+		n.viewChanged()
 		n.disseminate(n.self.ID)
 	}
 }
 
-// expire ends suspicions and forgets the dead of long ago.
+// expire declares suspects dead after their timeout and removes expired
+// tombstones.
 func (n *Node) expire(now time.Duration) {
 	for _, id := range slices.Clone(n.order) {
 		e := n.members[id]
@@ -87,35 +88,35 @@
 			n.declareDead(now, e)
 			continue
 		}
-		n.forget(id)
+		n.remove(id)
 	}
 }
 
-// declareDead ends a suspicion. The others end theirs at about the same time, so
-// there is nothing to pass on.
+// declareDead marks a suspect as dead. This is not disseminated, because the
+// suspicion expires at the other routers at about the same time.
 func (n *Node) declareDead(now time.Duration, e *entry) {
 	e.State = Dead
-	e.deadline = now + tombstoneTime
+	e.deadline = now + tombstoneTTL
 	delete(n.piggyback, e.ID)
-	n.changed()
+	n.viewChanged()
 }
 
-func (n *Node) forget(id msg.RouterID) {
+func (n *Node) remove(id msg.RouterID) {
 	delete(n.members, id)
 	delete(n.piggyback, id)
-	at, _ := slices.BinarySearch(n.order, id)
-	n.order = slices.Delete(n.order, at, at+1)
+	index, _ := slices.BinarySearch(n.order, id)
+	n.order = slices.Delete(n.order, index, index+1)
 }
 
-// disseminate notes that a member's update is to be passed on.
+// disseminate schedules the member's update for gossip and piggybacking.
 func (n *Node) disseminate(id msg.RouterID) {
 	n.piggyback[id] = retransmissions
-	if !slices.Contains(n.fresh, id) {
-		n.fresh = append(n.fresh, id)
+	if !slices.Contains(n.pendingGossip, id) {
+		n.pendingGossip = append(n.pendingGossip, id)
 	}
 }
 
-// lookup returns the newest update on a member.
+// lookup returns the current update for a member, which may be this router.
 func (n *Node) lookup(id msg.RouterID) (Update, bool) {
 	if id == n.self.ID {
 		return n.self, true
@@ -127,19 +128,19 @@
 	return e.Update, true
 }
 
-// flood passes fresh updates on to the fingers. It does so at most once a
-// tick, so that many changes at once share messages.
-func (n *Node) flood(now time.Duration) {
-	if now < n.nextFlood || len(n.fresh) == 0 && !n.announce {
+// gossipPending sends pending updates to the fingers, at most once per tick, so
+// that simultaneous changes share messages.
+func (n *Node) gossipPending(now time.Duration) {
+	if now < n.nextGossip || len(n.pendingGossip) == 0 && !n.announceSettings {
 		return
 	}
 	targets := n.fingers()
 	if len(targets) == 0 {
 		return
 	}
-	n.nextFlood = now + TickPeriod
+	n.nextGossip = now + TickPeriod
 	var updates []Update
-	for _, id := range n.fresh {
+	for _, id := range n.pendingGossip {
 		u, ok := n.lookup(id)
 		if !ok {
 			continue
@@ -149,37 +150,37 @@
 			n.send(id, Message{Type: Gossip, Updates: []Update{u}}) // so that it can refute
 		}
 	}
-	n.fresh = nil
-	n.announce = false
+	n.pendingGossip = nil
+	n.announceSettings = false
 	for _, to := range targets {
-		n.gossip(to, updates)
+		n.sendGossip(to, updates)
 	}
 }
 
-func (n *Node) gossip(to msg.RouterID, updates []Update) {
+func (n *Node) sendGossip(to msg.RouterID, updates []Update) {
 	if len(updates) == 0 {
 		n.send(to, Message{Type: Gossip})
 	}
-	for part := range slices.Chunk(updates, maxUpdates) {
-		n.send(to, Message{Type: Gossip, Updates: part})
+	for batch := range slices.Chunk(updates, maxUpdates) {
+		n.send(to, Message{Type: Gossip, Updates: batch})
 	}
 }
 
-// piggybacked returns updates to put on a probe or its answer.
+// piggybacked returns the updates to attach to a Ping or Ack.
 func (n *Node) piggybacked() []Update {
 	if len(n.piggyback) == 0 {
 		return nil
 	}
 	var updates []Update
 	for _, id := range append([]msg.RouterID{n.self.ID}, n.order...) {
-		left, ok := n.piggyback[id]
+		remaining, ok := n.piggyback[id]
 		if !ok || len(updates) == maxPiggyback {
 			continue
 		}
 		u, _ := n.lookup(id)
 		updates = append(updates, u)
-		n.piggyback[id] = left - 1
-		if left <= 1 {
+		n.piggyback[id] = remaining - 1
+		if remaining <= 1 {
 			delete(n.piggyback, id)
 		}
 	}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -96,7 +96,7 @@
 // way.
 func (m *Members) depart() {
 	m.do(func(n *member.Node, now time.Duration) {
-		n.Depart(now)
+		n.AnnounceLeft(now)
 		m.departed = true
 	})
 	m.wg.Wait()
@@ -126,7 +126,7 @@
 }
 
 // sync exchanges views with a peer. A failure is tried again by the core.
-func (m *Members) sync(to msg.RouterID, req member.Full) {
+func (m *Members) sync(to msg.RouterID, req member.SyncMessage) {
 	body, err := wire.Marshal(req)
 	if err != nil {
 		return
@@ -137,7 +137,7 @@
 	if err != nil {
 		return
 	}
-	var full member.Full
+	var full member.SyncMessage
 	if err := wire.Unmarshal(answer, maxMessage, &full); err != nil {
 		return
 	}
@@ -163,11 +163,11 @@
 // Answer answers a peer that asks for this router's view. Its error is
 // *wire.Error or Departed.
 func (m *Members) Answer(req []byte) ([]byte, error) {
-	var full member.Full
+	var full member.SyncMessage
 	if err := wire.Unmarshal(req, maxMessage, &full); err != nil {
 		return nil, err
 	}
-	var reply member.Full
+	var reply member.SyncMessage
 	if !m.do(func(n *member.Node, now time.Duration) { reply = n.SyncReply(now, full) }) {
 		return nil, Departed{}
 	}
@@ -176,17 +176,17 @@
 
 // SetCandidates replaces the routers that may exist.
 func (m *Members) SetCandidates(list []member.Candidate) {
-	m.do(func(n *member.Node, now time.Duration) { n.Candidates(now, list) })
+	m.do(func(n *member.Node, now time.Duration) { n.SetCandidates(now, list) })
 }
 
 // SetSettings tells the version in force here, which is passed on.
 func (m *Members) SetSettings(version uint64) {
-	m.do(func(n *member.Node, now time.Duration) { n.SetSettings(now, version) })
+	m.do(func(n *member.Node, now time.Duration) { n.SetSettingsVersion(now, version) })
 }
 
 // Leave announces that this router finishes its work and takes no more.
 func (m *Members) Leave() {
-	m.do(func(n *member.Node, now time.Duration) { n.Leave(now) })
+	m.do(func(n *member.Node, now time.Duration) { n.StartLeaving(now) })
 }
 
 // View returns the members, this router included, and how often they changed.
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -155,11 +155,11 @@
 	stop()
 	assert.NilError(t, m.Run(ctx))
 	said = 0
-	ping, err := wire.Marshal(member.Message{Type: member.Ping, Incarnation: 1, Settings: 9})
+	ping, err := wire.Marshal(member.Message{Type: member.Ping, Incarnation: 1, SettingsVersion: 9})
 	assert.NilError(t, err)
 	assert.NilError(t, m.Step("r2", ping))
 	m.SetCandidates([]member.Candidate{{ID: "r2"}})
-	view, err := wire.Marshal(member.Full{})
+	view, err := wire.Marshal(member.SyncMessage{})
 	assert.NilError(t, err)
 	_, err = m.Answer(view)
 	assert.ErrorType(t, err, Departed{})
