--- a/internal/claims/bounds_test.go
+++ b/internal/claims/bounds_test.go
@@ -24,10 +24,10 @@
 		_, _, err := c.Take(t.Context(), key, want("a"))
 		assert.ErrorType(t, err, &Unavailable{})
 		for range maxFinishing {
-			c.Finish(key, "b", claim.Result{State: claim.Lost})
+			c.Finish(key, "b", claim.Result{State: claim.Indeterminate})
 		}
 		select {
-		case <-c.Finish(key, "b", claim.Result{State: claim.Lost}):
+		case <-c.Finish(key, "b", claim.Result{State: claim.Indeterminate}):
 		default:
 			t.Fatal("one more waits")
 		}
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -112,14 +112,14 @@
 // must Finish it; the row has its fencing number. With Replay the row has the
 // answer. The error is *Unavailable: the claim is not held, and a row that was
 // written all the same is released later.
-func (c *Claims) Take(ctx context.Context, key claim.Key, want claim.Want) (claim.Verdict, *claim.Row, error) {
-	o := &op{key: key, keep: want.Keep, done: make(chan reply, 1), step: func(have *claim.Row) (reply, *claim.Row) {
+func (c *Claims) Take(ctx context.Context, key claim.Key, want claim.Request) (claim.Verdict, *claim.Row, error) {
+	o := &op{key: key, keep: want.RetainUntil, done: make(chan reply, 1), step: func(have *claim.Row) (reply, *claim.Row) {
 		verdict, next := claim.Decide(c.now().UnixMilli(), have, want)
 		switch verdict {
-		case claim.Take:
-			return reply{verdict: claim.Take, row: next}, next
-		case claim.Mine: // an earlier try took effect, its reply was lost
-			return reply{verdict: claim.Take, row: have}, nil
+		case claim.Granted:
+			return reply{verdict: claim.Granted, row: next}, next
+		case claim.AlreadyHeld: // an earlier try took effect, its reply was lost
+			return reply{verdict: claim.Granted, row: have}, nil
 		default:
 			return reply{verdict: verdict, row: have}, nil
 		}
@@ -144,11 +144,11 @@
 // count tells the observer what came of a claim.
 func (c *Claims) count(v claim.Verdict) {
 	switch v {
-	case claim.Take:
+	case claim.Granted:
 		c.observer.Taken()
 	case claim.Replay:
 		c.observer.Replayed()
-	case claim.InProgress, claim.Mismatch:
+	case claim.InProgress, claim.ContentMismatch:
 		c.observer.Conflict()
 	default:
 		c.observer.Unknown()
@@ -157,7 +157,7 @@
 
 // release frees a row that may have been written by a claim that nobody holds.
 func (c *Claims) release(key claim.Key, holder msg.RequestID) {
-	c.Finish(key, holder, claim.Result{State: claim.Free})
+	c.Finish(key, holder, claim.Result{State: claim.NotRun})
 }
 
 // Finish writes the result of a held claim, trying for a while, and closes the
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -110,11 +110,11 @@
 	})
 }
 
-func want(id string) claim.Want {
+func want(id string) claim.Request {
 	now := time.Now()
-	return claim.Want{
+	return claim.Request{
 		Digest: claim.Digest{1}, Holder: msg.RequestID(id),
-		Until: now.Add(time.Minute).UnixMilli(), Keep: now.Add(time.Hour).UnixMilli(),
+		CallDeadline: now.Add(time.Minute).UnixMilli(), RetainUntil: now.Add(time.Hour).UnixMilli(),
 	}
 }
 
@@ -135,7 +135,7 @@
 			})
 		}
 		wg.Wait()
-		assert.DeepEqual(t, got, map[claim.Verdict]int{claim.Take: 1, claim.InProgress: 39})
+		assert.DeepEqual(t, got, map[claim.Verdict]int{claim.Granted: 1, claim.InProgress: 39})
 	})
 }
 
@@ -153,7 +153,7 @@
 				if i == 7 {
 					assert.Check(t, verdict == claim.InProgress)
 				} else {
-					assert.Check(t, verdict == claim.Take)
+					assert.Check(t, verdict == claim.Granted)
 				}
 			})
 		}
@@ -175,7 +175,7 @@
 			wg.Go(func() {
 				verdict, _, err := routers[0].Take(t.Context(), claim.Key(fmt.Sprint("claim/", i)), want(fmt.Sprint(i)))
 				assert.Check(t, err)
-				assert.Check(t, verdict == claim.Take)
+				assert.Check(t, verdict == claim.Granted)
 			})
 		}
 		wg.Wait()
@@ -190,7 +190,7 @@
 			tab.faults, tab.effect = []platform.Kind{platform.KindUnknown}, effect
 			verdict, row, err := routers[0].Take(t.Context(), key, want("a"))
 			assert.NilError(t, err)
-			assert.Equal(t, verdict, claim.Take)
+			assert.Equal(t, verdict, claim.Granted)
 			assert.Equal(t, row.Holder, msg.RequestID("a"))
 			<-routers[0].Finish(key, "a", claim.Result{State: claim.Done, Answer: &claim.Answer{Status: 200}})
 			assert.Equal(t, tab.state(key), claim.Done)
@@ -219,10 +219,10 @@
 		tab.faults, tab.down = nil, false
 		tab.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, tab.state(key), claim.Free)
+		assert.Equal(t, tab.state(key), claim.NotRun)
 		verdict, _, err := routers[0].Take(t.Context(), key, want("b"))
 		assert.NilError(t, err)
-		assert.Equal(t, verdict, claim.Take)
+		assert.Equal(t, verdict, claim.Granted)
 	})
 }
 
@@ -248,17 +248,17 @@
 		tab.mu.Unlock()
 		verdict, _, err := routers[0].Take(t.Context(), key, want("a2"))
 		assert.NilError(t, err)
-		assert.Equal(t, verdict, claim.Take)
+		assert.Equal(t, verdict, claim.Granted)
 		tab.mu.Lock()
 		tab.down = true
 		tab.mu.Unlock()
-		written := routers[0].Finish(key, "a2", claim.Result{State: claim.Lost})
+		written := routers[0].Finish(key, "a2", claim.Result{State: claim.Indeterminate})
 		time.Sleep(10 * time.Second)
 		tab.mu.Lock()
 		tab.down = false
 		tab.mu.Unlock()
 		<-written
-		assert.Equal(t, tab.state(key), claim.Lost)
+		assert.Equal(t, tab.state(key), claim.Indeterminate)
 	})
 }
 
@@ -270,7 +270,7 @@
 		_, _, err := routers[0].Take(ctx, key, want("a"))
 		assert.ErrorType(t, err, &Unavailable{})
 		time.Sleep(time.Second)
-		assert.Equal(t, tab.state(key), claim.Free)
+		assert.Equal(t, tab.state(key), claim.NotRun)
 	})
 }
 
--- a/internal/claims/index.go
+++ b/internal/claims/index.go
@@ -49,7 +49,7 @@
 	now := x.now().UnixMilli()
 	if h := claim.HourOf(now); h != x.begun {
 		x.begun = h
-		x.core.Forget(now)
+		x.core.Prune(now)
 	}
 }
 
@@ -102,15 +102,15 @@
 		}
 		page = &rows[0]
 	}
-	change, err := x.core.Name(x.hour(), claim.Stored(*page), keys)
+	change, err := x.core.AddKeys(x.hour(), claim.StoredRow(*page), keys)
 	return platform.Write(change), err
 }
 
 // stored gives rows as the core knows them.
-func stored(rows []platform.Row) []claim.Stored {
-	out := make([]claim.Stored, len(rows))
+func stored(rows []platform.Row) []claim.StoredRow {
+	out := make([]claim.StoredRow, len(rows))
 	for i, r := range rows {
-		out[i] = claim.Stored(r)
+		out[i] = claim.StoredRow(r)
 	}
 	return out
 }
--- a/internal/claims/sweeper.go
+++ b/internal/claims/sweeper.go
@@ -109,10 +109,10 @@
 		return err
 	}
 	now := s.now().UnixMilli()
-	if err := s.sweep.Rows(now, stored(rows)); err != nil {
+	if err := s.sweep.RowsRead(now, stored(rows)); err != nil {
 		return err
 	}
-	s.observer.Unswept(s.sweep.Behind(now))
+	s.observer.Unswept(s.sweep.Lag(now))
 	return nil
 }
 
@@ -144,7 +144,7 @@
 }
 
 // report logs the end of an hour.
-func (s *Sweeper) report(ctx context.Context, swept *claim.Swept) {
+func (s *Sweeper) report(ctx context.Context, swept *claim.SweepResult) {
 	events.ClaimsSwept.Log(ctx, s.log, slog.LevelInfo,
 		"hour", time.UnixMilli(swept.Hour.Start()).UTC(), "deleted", swept.Deleted, "kept", swept.Kept)
 	for _, key := range swept.Unreadable {
--- a/internal/claims/sweeper_test.go
+++ b/internal/claims/sweeper_test.go
@@ -128,7 +128,7 @@
 			if err != nil {
 				return
 			}
-			assert.Check(t, verdict == claim.Take, "%d", verdict)
+			assert.Check(t, verdict == claim.Granted, "%d", verdict)
 			<-c.Finish(key, w.Holder, claim.Result{State: claim.Done, Answer: &claim.Answer{Status: 200}})
 			taken.Add(1)
 		})
@@ -152,7 +152,7 @@
 		assert.Assert(t, taken > 1700, "%d taken", taken)
 		r.sweeper(ctx, "r0", "r0")
 		r.sweeper(ctx, "r1", "r1")
-		time.Sleep(time.Hour + claim.Grace - time.Minute)
+		time.Sleep(time.Hour + claim.GracePeriod - time.Minute)
 		early := strings.Count(strings.Join(r.table.left(t), " "), "claim/")
 		assert.Assert(t, early >= taken, "%d claims", early) // some were written and released
 		for range 1200 {
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -1,10 +1,11 @@
-// Package claim decides who may run a call that may not be repeated. Each
-// Idempotency-Key has one row in the platform's table; whoever writes it as
-// running may send the call, once. It has no input or output.
+// Package claim decides which request may run an at-most-once call. Each
+// Idempotency-Key has one row in the platform's table; the request that writes
+// the row as Running may send the call, once. The package performs no I/O.
 //
-// A claim is never taken over from a holder that may have sent: a server that
-// checks fencing numbers refuses an old one after a new one, but can't undo what
-// ran under the old one before. Such a key's outcome is told as unknown.
+// A claim is never taken over from a holder that may have sent the call. A
+// server that checks fencing numbers refuses an old number after a new one, but
+// it cannot undo what already ran under the old one. The outcome of such a call
+// is reported as unknown.
 package claim
 
 import (
@@ -19,26 +20,27 @@
 // Key is the table key of a claim.
 type Key string
 
-// keyPrefix is that of all claims in the table.
+// keyPrefix is the prefix of all claim keys in the table.
 const keyPrefix = "claim/"
 
-// KeyOf returns the table key of a customer's Idempotency-Key at a service. The
-// caller's key itself is not kept.
+// KeyOf returns the table key for a customer's Idempotency-Key at a service. It
+// is a hash, so the Idempotency-Key itself is not stored.
 func KeyOf(customer msg.CustomerID, service, idempotencyKey string) Key {
-	sum := hash([]byte(customer), []byte(service), []byte(idempotencyKey))
+	sum := hashParts([]byte(customer), []byte(service), []byte(idempotencyKey))
 	return Key(keyPrefix + hex.EncodeToString(sum[:]))
 }
 
-// Digest tells the contents of calls apart.
+// Digest is a hash of the content of a call.
 type Digest [sha256.Size]byte
 
-// DigestOf returns the digest of what a call says.
+// DigestOf returns the digest of a call.
 func DigestOf(method, path, query, contentType string, body []byte) Digest {
-	return hash([]byte(method), []byte(path), []byte(query), []byte(contentType), body)
+	return hashParts([]byte(method), []byte(path), []byte(query), []byte(contentType), body)
 }
 
-// hash hashes parts with their lengths, so that no two lists are alike.
-func hash(parts ...[]byte) [sha256.Size]byte {
+// hashParts hashes each part after its length, so that different lists of parts
+// never produce the same input to the hash.
+func hashParts(parts ...[]byte) [sha256.Size]byte {
 	h := sha256.New()
 	var size [8]byte
 	for _, p := range parts {
@@ -49,15 +51,15 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// State is what a row says of its call.
+// State is the state of the call that a row describes.
 type State uint8
 
 // The states of a claim.
 const (
-	Running State = iota + 1 // the holder may be about to send, or waits for the answer
-	Done                     // it ran, and this is its answer
-	Lost                     // it may have run, and its answer is lost
-	Free                     // it has certainly not run
+	Running       State = iota + 1 // the holder may send the call, or is waiting for the answer
+	Done                           // the call ran; the row holds its answer, unless that was too large
+	Indeterminate                  // the call may have run, and its answer is lost
+	NotRun                         // the call has certainly not run; the key may be claimed again
 )
 
 // Answer is a stored answer.
@@ -67,135 +69,137 @@
 	Body   []byte              `cbor:"3,keyasint,omitempty"`
 }
 
-// Row is the claim of one key.
+// Row is the stored claim on one key.
 type Row struct {
-	State  State         `cbor:"1,keyasint"`
-	Digest Digest        `cbor:"2,keyasint"`
-	Holder msg.RequestID `cbor:"3,keyasint"`
-	Fence  uint64        `cbor:"4,keyasint"`           // rises with each holder of the key
-	Until  int64         `cbor:"5,keyasint"`           // Running: the holder is over by then; Unix ms
-	Keep   int64         `cbor:"6,keyasint"`           // the row is forgotten after; Unix ms
-	Answer *Answer       `cbor:"7,keyasint,omitempty"` // Done; nil: too large to be kept
+	State        State         `cbor:"1,keyasint"`
+	Digest       Digest        `cbor:"2,keyasint"`
+	Holder       msg.RequestID `cbor:"3,keyasint"`
+	Fence        uint64        `cbor:"4,keyasint"`           // fencing number; increases with each holder of the key
+	CallDeadline int64         `cbor:"5,keyasint"`           // Running: when the holder's call has ended at the latest; Unix ms
+	RetainUntil  int64         `cbor:"6,keyasint"`           // after it the row is ignored and the key may be claimed again; Unix ms
+	Answer       *Answer       `cbor:"7,keyasint,omitempty"` // in state Done; nil if it was too large to keep
 }
 
-// Want is what a request asks for.
-type Want struct {
-	Digest Digest
-	Holder msg.RequestID
-	Until  int64 // Unix ms by which the call has ended, or its answer is given up
-	Keep   int64 // Unix ms until which the key holds
+// Request is a request to claim a key.
+type Request struct {
+	Digest       Digest
+	Holder       msg.RequestID
+	CallDeadline int64 // when the call has ended or its answer is abandoned; Unix ms
+	RetainUntil  int64 // how long the key is retained; Unix ms
 }
 
-// Verdict is what a request with a key may do.
+// Verdict is the decision on a request for a claim.
 type Verdict int
 
 // The verdicts.
 const (
-	Take       Verdict = iota + 1 // write the row; then the call may be sent
-	Mine                          // the row is written already
-	Replay                        // the call has run: here is its answer
-	AnswerLost                    // the call has run: its answer was not kept
-	InProgress                    // the first request is running
-	Mismatch                      // the key was used for another content
-	Unknown                       // the first request may have run
+	Granted         Verdict = iota + 1 // the call may be sent once the row is written
+	AlreadyHeld                        // the request already holds the claim
+	Replay                             // the call has run; the row holds its answer
+	AnswerNotKept                      // the call has run; its answer was too large to keep
+	InProgress                         // another request's call is running
+	ContentMismatch                    // the key was used for a call with different content
+	OutcomeUnknown                     // another request's call may have run
 )
 
-// Decide says what a request may do, now (Unix ms), in view of the row, which is
-// nil if there is none. With Take it returns the row to be written in its place.
-func Decide(now int64, have *Row, w Want) (Verdict, *Row) {
-	if have == nil {
-		return Take, w.row(now, 0)
+// Decide decides on a request at the time now (Unix ms), given the current row,
+// or nil if there is none. With Granted it returns the row to write in its place.
+func Decide(now int64, current *Row, r Request) (Verdict, *Row) {
+	if current == nil {
+		return Granted, r.newRow(now, 0)
 	}
-	if have.Holder == w.Holder && have.State == Running {
-		return Mine, nil
+	if current.Holder == r.Holder && current.State == Running {
+		return AlreadyHeld, nil
 	}
-	if have.State == Free || now > have.Keep {
-		return Take, w.row(now, have.Fence)
+	if current.State == NotRun || now > current.RetainUntil {
+		return Granted, r.newRow(now, current.Fence)
 	}
-	if have.Digest != w.Digest {
-		return Mismatch, nil
+	if current.Digest != r.Digest {
+		return ContentMismatch, nil
 	}
-	return have.verdict(now), nil
+	return current.verdict(now), nil
 }
 
-// verdict is that of a later request of the same content.
+// verdict returns the verdict on another request with the same content.
 func (r *Row) verdict(now int64) Verdict {
 	switch {
 	case r.State == Done && r.Answer != nil:
 		return Replay
 	case r.State == Done:
-		return AnswerLost
-	case r.State == Running && now <= r.Until:
+		return AnswerNotKept
+	case r.State == Running && now <= r.CallDeadline:
 		return InProgress
 	default:
-		return Unknown
+		return OutcomeUnknown
 	}
 }
 
-// row returns the row that claims the key. The fencing number rises with each
-// claim, and over the deletion of a row too, as long as clocks are right to
-// within the time a key is kept.
-func (w Want) row(now int64, lastFence uint64) *Row {
+// newRow returns the row that claims the key. The fencing number increases with
+// each claim. It also increases across the deletion of a row, because it is at
+// least the current time, provided that clock errors are smaller than the
+// retention time of a key.
+func (r Request) newRow(now int64, lastFence uint64) *Row {
 	return &Row{
-		State:  Running,
-		Digest: w.Digest,
-		Holder: w.Holder,
-		Fence:  max(lastFence+1, uint64(max(now, 0))),
-		Until:  w.Until,
-		Keep:   w.Keep,
+		State:        Running,
+		Digest:       r.Digest,
+		Holder:       r.Holder,
+		Fence:        max(lastFence+1, uint64(max(now, 0))),
+		CallDeadline: r.CallDeadline,
+		RetainUntil:  r.RetainUntil,
 	}
 }
 
-// Result is how a holder's call ended.
+// Result is the result of a holder's call.
 type Result struct {
-	State  State   // Done, Lost or Free
-	Answer *Answer // Done; nil: too large to be kept
+	State  State   // Done, Indeterminate or NotRun
+	Answer *Answer // in state Done; nil if it was too large to keep
 }
 
-// Finish returns the row that tells the result, or nil if the row is not the
-// holder's, or tells a result already.
-func Finish(have *Row, holder msg.RequestID, r Result) *Row {
-	if have == nil || have.Holder != holder || have.State != Running {
+// Finish returns the row that records the result, or nil if the current row
+// belongs to another holder or already has a result.
+func Finish(current *Row, holder msg.RequestID, r Result) *Row {
+	if current == nil || current.Holder != holder || current.State != Running {
 		return nil
 	}
-	next := *have
+	next := *current
 	next.State = r.State
 	next.Answer = r.Answer
 	return &next
 }
 
-// The margin before the end of a lease within which its holder sends nothing
-// more: for the time from the check to the write, and for clocks that run apart.
+// Safety margin before the end of a lease, in which the holder must not start to
+// send. It covers the delay between the check and the send, and clocks that run
+// at different rates.
 const (
-	marginPart = 5 // of the lease
-	maxMargin  = 500 * time.Millisecond
+	marginDivisor = 5 // the margin is this fraction of the lease, up to maxMargin
+	maxMargin     = 500 * time.Millisecond
 )
 
-// Lease is how long a holder may begin to send. Its times are of the holder's
-// own monotonic clock.
+// Lease limits the time in which a holder may start to send its call. Its times
+// are on the holder's own monotonic clock.
 type Lease struct {
-	asked  time.Duration // before the claim was written
-	length time.Duration
+	requestedAt time.Duration // before the claim was written, so that the lease cannot end too late
+	length      time.Duration
 }
 
-// NewLease returns the lease of a claim that was asked for at the given time.
-func NewLease(asked, length time.Duration) Lease { return Lease{asked, length} }
+// NewLease returns the lease of a claim that was requested at the given time.
+func NewLease(requestedAt, length time.Duration) Lease { return Lease{requestedAt, length} }
 
-// End returns when the holder must no longer send.
+// End returns the time from which the holder must not start to send.
 func (l Lease) End() time.Duration {
-	return l.asked + l.length - min(l.length/marginPart, maxMargin)
+	return l.requestedAt + l.length - min(l.length/marginDivisor, maxMargin)
 }
 
-// Check returns a [Lapsed] error if it is too late to send.
+// Check returns a [LeaseExpiredError] if it is too late to send.
 func (l Lease) Check(now time.Duration) error {
 	if now < l.End() {
 		return nil
 	}
-	return Lapsed{Late: now - l.End()}
+	return LeaseExpiredError{Late: now - l.End()}
 }
 
-// Lapsed is the error of a holder whose lease is over.
-type Lapsed struct{ Late time.Duration }
+// LeaseExpiredError is returned when a lease has expired.
+type LeaseExpiredError struct{ Late time.Duration }
 
 // Error implements error.
-func (l Lapsed) Error() string { return "claim lapsed " + l.Late.String() + " ago" }
+func (e LeaseExpiredError) Error() string { return "claim lapsed " + e.Late.String() + " ago" }
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -15,297 +15,302 @@
 )
 
 const (
-	lease  = 1000 // ms
-	runFor = 3000 // ms from arrival to the deadline
-	keep   = 1_000_000
+	lease     = 1000 // ms
+	callTime  = 3000 // ms from the arrival of a request to its call deadline
+	retention = 1_000_000
 )
 
-// stored is a row of the table with its version.
-type stored struct {
+// versionedRow is a row of the table with its version.
+type versionedRow struct {
 	row     []byte
 	version int
 }
 
-// write is a conditional write of the table.
-type write struct {
-	key  claim.Key
-	row  []byte
-	then int // the version it applies to
+// conditionalWrite is a write that is applied only if the row still has version
+// ifVersion.
+type conditionalWrite struct {
+	key       claim.Key
+	row       []byte
+	ifVersion int
 }
 
-// request is one caller's request at some router.
+// request is a caller's request at a router.
 type request struct {
-	id      msg.RequestID
-	key     claim.Key
-	content string
-	want    claim.Want
-	lease   claim.Lease
-	ready   *write // decided on, not yet committed
-	held    bool
-	over    bool // answered, refused or its router died
-	result  *claim.Result
+	id           msg.RequestID
+	key          claim.Key
+	content      string
+	claimRequest claim.Request
+	lease        claim.Lease
+	pending      *conditionalWrite // granted by Decide, not yet committed
+	held         bool
+	done         bool // answered, refused, or its router crashed
+	result       *claim.Result
 }
 
-// fleet is the table, the requests, and the oracle: what servers really ran.
-type fleet struct {
-	now      int64 // ms, true time
-	table    map[claim.Key]stored
-	late     []write // committed with a lost reply, and not applied yet
+// claimModel holds the table, the requests, and the calls that servers have
+// actually run.
+type claimModel struct {
+	now      int64 // true time in ms
+	table    map[claim.Key]versionedRow
+	delayed  []conditionalWrite // the replies were lost, and the writes may still be applied
 	requests []*request
 	runs     map[claim.Key][]msg.RequestID
 	answers  map[claim.Key]string
-	only     *request // the one that pick may draw; nil: any
+	selected *request // restricts pick to this request; nil: no restriction
 }
 
-func (f *fleet) apply(w write) bool {
-	if f.table[w.key].version != w.then {
+func (m *claimModel) apply(w conditionalWrite) bool {
+	if m.table[w.key].version != w.ifVersion {
 		return false
 	}
-	f.table[w.key] = stored{w.row, w.then + 1}
+	m.table[w.key] = versionedRow{w.row, w.ifVersion + 1}
 	return true
 }
 
-func (f *fleet) arrive(t *rapid.T) {
+func (m *claimModel) arrive(t *rapid.T) {
 	r := &request{
-		id:      msg.RequestID(fmt.Sprint("r", len(f.requests))),
+		id:      msg.RequestID(fmt.Sprint("r", len(m.requests))),
 		key:     claim.KeyOf("c", "s", rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "key")),
 		content: rapid.SampledFrom([]string{"beans", "rice"}).Draw(t, "content"),
 	}
 	skew := rapid.Int64Range(-500, 500).Draw(t, "skew")
-	wall := f.now + skew
-	r.want = claim.Want{Digest: claim.DigestOf("POST", "/", "", "", []byte(r.content)), Holder: r.id, Until: wall + runFor, Keep: wall + keep}
-	r.lease = claim.NewLease(time.Duration(f.now)*time.Millisecond, lease*time.Millisecond)
-	f.requests = append(f.requests, r)
+	wallClock := m.now + skew
+	r.claimRequest = claim.Request{Digest: claim.DigestOf("POST", "/", "", "", []byte(r.content)), Holder: r.id, CallDeadline: wallClock + callTime, RetainUntil: wallClock + retention}
+	r.lease = claim.NewLease(time.Duration(m.now)*time.Millisecond, lease*time.Millisecond)
+	m.requests = append(m.requests, r)
 }
 
-// pick draws a request that is at a given point, or nil.
-func (f *fleet) pick(t *rapid.T, at func(*request) bool) *request {
-	var fit []*request
-	for _, r := range f.requests {
-		if at(r) && (f.only == nil || f.only == r) {
-			fit = append(fit, r)
+// pick draws a request for which matches returns true. It returns nil if there
+// is none.
+func (m *claimModel) pick(t *rapid.T, matches func(*request) bool) *request {
+	var matching []*request
+	for _, r := range m.requests {
+		if matches(r) && (m.selected == nil || m.selected == r) {
+			matching = append(matching, r)
 		}
 	}
-	if len(fit) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(fit).Draw(t, "request")
+	return rapid.SampledFrom(matching).Draw(t, "request")
 }
 
-// read lets a request see its row, and checks what it is then told.
-func (f *fleet) read(t *rapid.T) {
-	r := f.pick(t, func(r *request) bool { return !r.held && !r.over && r.result == nil })
+// read decides on a request given its current row, and checks the verdict.
+func (m *claimModel) read(t *rapid.T) {
+	r := m.pick(t, func(r *request) bool { return !r.held && !r.done && r.result == nil })
 	if r == nil {
 		return
 	}
-	have, err := claim.Decode(f.table[r.key].row)
+	current, err := claim.Decode(m.table[r.key].row)
 	assert.NilError(t, err)
-	verdict, next := claim.Decide(f.now, have, r.want)
-	r.over = true
+	verdict, next := claim.Decide(m.now, current, r.claimRequest)
+	r.done = true
 	switch verdict {
-	case claim.Take:
+	case claim.Granted:
 		row, err := claim.Encode(next)
 		assert.NilError(t, err)
-		r.over, r.ready = false, &write{r.key, row, f.table[r.key].version}
-		assert.Assert(t, have == nil || next.Fence > have.Fence)
-	case claim.Mine:
-		r.over, r.held = false, true
+		r.done, r.pending = false, &conditionalWrite{r.key, row, m.table[r.key].version}
+		assert.Assert(t, current == nil || next.Fence > current.Fence)
+	case claim.AlreadyHeld:
+		r.done, r.held = false, true
 	case claim.Replay:
-		assert.Equal(t, string(have.Answer.Body), f.answers[r.key], "another request's answer")
-		assert.Equal(t, f.answers[r.key], r.content)
-	case claim.AnswerLost:
-		assert.Equal(t, len(f.runs[r.key]), 1)
+		assert.Equal(t, string(current.Answer.Body), m.answers[r.key], "another request's answer")
+		assert.Equal(t, m.answers[r.key], r.content)
+	case claim.AnswerNotKept:
+		assert.Equal(t, len(m.runs[r.key]), 1)
 	}
 }
 
-// commit writes what was decided; the reply may be lost, before or after the
-// write takes effect, which it may do late.
-func (f *fleet) commit(t *rapid.T) {
-	r := f.pick(t, func(r *request) bool { return r.ready != nil && !r.over })
+// commit commits the pending write of a request. The reply may be lost, and the
+// write may then be applied at once or later.
+func (m *claimModel) commit(t *rapid.T) {
+	r := m.pick(t, func(r *request) bool { return r.pending != nil && !r.done })
 	if r == nil {
 		return
 	}
-	w := *r.ready
-	r.ready = nil
+	w := *r.pending
+	r.pending = nil
 	switch rapid.SampledFrom([]string{"ok", "ok", "lost", "late"}).Draw(t, "reply") {
 	case "ok":
-		r.held = f.apply(w)
+		r.held = m.apply(w)
 	case "lost":
-		f.apply(w)
+		m.apply(w)
 	case "late":
-		f.late = append(f.late, w)
+		m.delayed = append(m.delayed, w)
 	}
 }
 
-func (f *fleet) arriveLate(t *rapid.T) {
-	if len(f.late) == 0 {
+func (m *claimModel) applyDelayed(t *rapid.T) {
+	if len(m.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(f.late)-1).Draw(t, "write")
-	w := f.late[i]
-	f.late = slices.Delete(f.late, i, i+1)
-	f.apply(w)
+	i := rapid.IntRange(0, len(m.delayed)-1).Draw(t, "write")
+	w := m.delayed[i]
+	m.delayed = slices.Delete(m.delayed, i, i+1)
+	m.apply(w)
 }
 
-// run sends a held call: a whole exchange whose attempts end at drawn points.
-func (f *fleet) run(t *rapid.T) {
-	r := f.pick(t, func(r *request) bool { return r.held && !r.over && r.result == nil })
+// runCall sends the call of a request that holds its claim: a whole exchange whose
+// attempts end at random points.
+func (m *claimModel) runCall(t *rapid.T) {
+	r := m.pick(t, func(r *request) bool { return r.held && !r.done && r.result == nil })
 	if r == nil {
 		return
 	}
-	x := attempt.NewExchange(attempt.Rule{MaxAttempts: 3})
+	exchange := attempt.NewExchange(attempt.Rule{MaxAttempts: 3})
 	for action := attempt.Retry; action == attempt.Retry; {
-		x.BeginAttempt()
-		action = f.attempt(t, r, x)
+		exchange.BeginAttempt()
+		action = m.runAttempt(t, r, exchange)
 	}
-	ran := slices.Contains(f.runs[r.key], r.id)
-	if x.Outcome().Ran() == "no" {
-		assert.Assert(t, !ran, "told as not run, but it ran")
+	ran := slices.Contains(m.runs[r.key], r.id)
+	if exchange.Outcome().Ran() == "no" {
+		assert.Assert(t, !ran, "reported as not run, but it ran")
 	}
-	r.result = &claim.Result{State: claim.Lost}
-	switch x.Outcome() {
+	r.result = &claim.Result{State: claim.Indeterminate}
+	switch exchange.Outcome() {
 	case attempt.Ended:
 		assert.Assert(t, ran)
 		r.result = &claim.Result{State: claim.Done, Answer: &claim.Answer{Status: 200, Body: []byte(r.content)}}
 	case attempt.NotSent, attempt.Refused:
-		r.result.State = claim.Free
+		r.result.State = claim.NotRun
 	}
 }
 
-// attempt is one attempt at a server that runs what it receives.
-func (f *fleet) attempt(t *rapid.T, r *request, x *attempt.Exchange) attempt.Action {
+// runAttempt makes one attempt at a server that runs every call it receives.
+func (m *claimModel) runAttempt(t *rapid.T, r *request, exchange *attempt.Exchange) attempt.Action {
 	step := func(k attempt.Kind) attempt.Action {
-		return x.Step(attempt.Event{Kind: k, Attempt: x.Attempts()})
+		return exchange.Step(attempt.Event{Kind: k, Attempt: exchange.Attempts()})
 	}
-	if r.lease.Check(time.Duration(f.now)*time.Millisecond) != nil {
+	if r.lease.Check(time.Duration(m.now)*time.Millisecond) != nil {
 		return step(attempt.Expired)
 	}
-	at := rapid.SampledFrom([]attempt.Kind{attempt.DialFailed, attempt.Refusal, attempt.Cut, attempt.Header, attempt.Closing, attempt.Closing}).Draw(t, "point")
-	if at == attempt.DialFailed {
-		return step(at)
+	point := rapid.SampledFrom([]attempt.Kind{attempt.DialFailed, attempt.Refusal, attempt.Cut, attempt.Header, attempt.Closing, attempt.Closing}).Draw(t, "point")
+	if point == attempt.DialFailed {
+		return step(point)
 	}
 	step(attempt.Wrote)
-	if at == attempt.Refusal {
-		return step(at)
+	if point == attempt.Refusal {
+		return step(point)
 	}
-	f.runs[r.key] = append(f.runs[r.key], r.id)
-	f.answers[r.key] = r.content
-	if at == attempt.Cut {
-		return step(at)
+	m.runs[r.key] = append(m.runs[r.key], r.id)
+	m.answers[r.key] = r.content
+	if point == attempt.Cut {
+		return step(point)
 	}
 	step(attempt.Header)
-	if at == attempt.Header {
+	if point == attempt.Header {
 		return step(attempt.Cut)
 	}
-	return step(at)
+	return step(point)
 }
 
-// finish writes a result, unless the table or the router fails first.
-func (f *fleet) finish(t *rapid.T) {
-	r := f.pick(t, func(r *request) bool { return r.result != nil && !r.over })
+// writeResult writes the result of a call, at once or as a delayed write.
+func (m *claimModel) writeResult(t *rapid.T) {
+	r := m.pick(t, func(r *request) bool { return r.result != nil && !r.done })
 	if r == nil {
 		return
 	}
-	have, err := claim.Decode(f.table[r.key].row)
+	current, err := claim.Decode(m.table[r.key].row)
 	assert.NilError(t, err)
-	next := claim.Finish(have, r.id, *r.result)
+	next := claim.Finish(current, r.id, *r.result)
 	if next == nil {
-		r.over = true
+		r.done = true
 		return
 	}
 	row, err := claim.Encode(next)
 	assert.NilError(t, err)
-	w := write{r.key, row, f.table[r.key].version}
+	w := conditionalWrite{r.key, row, m.table[r.key].version}
 	if rapid.IntRange(0, 3).Draw(t, "late") == 0 {
-		f.late = append(f.late, w)
+		m.delayed = append(m.delayed, w)
 		return
 	}
-	r.over = f.apply(w)
+	r.done = m.apply(w)
 }
 
-// pass brings a request from its arrival to the end of its call, without a
-// result in the table yet. Drawn one by one, the steps seldom come so far.
-func (f *fleet) pass(t *rapid.T) {
-	f.arrive(t)
-	f.only = f.requests[len(f.requests)-1]
-	f.read(t)
-	f.commit(t)
-	f.run(t)
-	f.only = nil
+// runToResult takes a new request from its arrival to the end of its call, without
+// writing its result. Independently drawn steps rarely get that far.
+func (m *claimModel) runToResult(t *rapid.T) {
+	m.arrive(t)
+	m.selected = m.requests[len(m.requests)-1]
+	m.read(t)
+	m.commit(t)
+	m.runCall(t)
+	m.selected = nil
 }
 
-// giveUp ends a request that does not know whether it holds the claim: it will
-// send nothing, and releases the row if that is its own.
-func (f *fleet) giveUp(t *rapid.T) {
-	r := f.pick(t, func(r *request) bool { return !r.held && !r.over && r.result == nil })
+// abandon ends a request that does not know whether it holds the claim. It will
+// not send the call, and releases the row if it is the holder.
+func (m *claimModel) abandon(t *rapid.T) {
+	r := m.pick(t, func(r *request) bool { return !r.held && !r.done && r.result == nil })
 	if r == nil {
 		return
 	}
-	r.ready = nil
-	r.result = &claim.Result{State: claim.Free}
+	r.pending = nil
+	r.result = &claim.Result{State: claim.NotRun}
 }
 
-// die ends a request's router.
-func (f *fleet) die(t *rapid.T) {
-	if r := f.pick(t, func(r *request) bool { return !r.over }); r != nil {
-		r.over, r.ready = true, nil
+// crashRouter ends a request without a result, as when its router crashes.
+func (m *claimModel) crashRouter(t *rapid.T) {
+	if r := m.pick(t, func(r *request) bool { return !r.done }); r != nil {
+		r.done, r.pending = true, nil
 	}
 }
 
-func (f *fleet) check(t *rapid.T) {
-	for key, runs := range f.runs {
+func (m *claimModel) checkAtMostOnce(t *rapid.T) {
+	for key, runs := range m.runs {
 		assert.Assert(t, len(runs) <= 1, "%s ran %d times: %v", key, len(runs), runs)
 	}
 }
 
-// Whatever is lost, late, paused or dies, a key runs at most once; its answers
-// are its own; and what is told as not run has not run.
+// Despite lost replies, delayed writes, pauses and crashes, the call of a key runs
+// at most once, replayed answers belong to the key, and a call that is reported as
+// not run has not run.
 func TestAtMostOncePerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{table: map[claim.Key]stored{}, runs: map[claim.Key][]msg.RequestID{}, answers: map[claim.Key]string{}}
+		m := &claimModel{table: map[claim.Key]versionedRow{}, runs: map[claim.Key][]msg.RequestID{}, answers: map[claim.Key]string{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"arrive": f.arrive, "read": f.read, "commit": f.commit, "late write": f.arriveLate,
-			"run": f.run, "finish": f.finish, "die": f.die, "give up": f.giveUp, "pass": f.pass,
-			"pause": func(t *rapid.T) { f.now += rapid.Int64Range(0, 2*runFor).Draw(t, "ms") },
-			"":      f.check,
+			"arrive": m.arrive, "read": m.read, "commit": m.commit, "late write": m.applyDelayed,
+			"run": m.runCall, "finish": m.writeResult, "die": m.crashRouter, "give up": m.abandon, "pass": m.runToResult,
+			"pause": func(t *rapid.T) { m.now += rapid.Int64Range(0, 2*callTime).Draw(t, "ms") },
+			"":      m.checkAtMostOnce,
 		})
 	})
 }
 
 func TestDecideAfterHolderDied(t *testing.T) {
-	w := claim.Want{Digest: claim.Digest{1}, Holder: "b", Until: 9000, Keep: 20_000}
-	have := &claim.Row{State: claim.Running, Digest: claim.Digest{1}, Holder: "a", Fence: 7, Until: 5000, Keep: 10_000}
+	req := claim.Request{Digest: claim.Digest{1}, Holder: "b", CallDeadline: 9000, RetainUntil: 20_000}
+	current := &claim.Row{State: claim.Running, Digest: claim.Digest{1}, Holder: "a", Fence: 7, CallDeadline: 5000, RetainUntil: 10_000}
 	for now, want := range map[int64]claim.Verdict{
-		0: claim.InProgress, 5000: claim.InProgress, 5001: claim.Unknown, 10_000: claim.Unknown, 10_001: claim.Take,
+		0: claim.InProgress, 5000: claim.InProgress, 5001: claim.OutcomeUnknown, 10_000: claim.OutcomeUnknown, 10_001: claim.Granted,
 	} {
-		verdict, next := claim.Decide(now, have, w)
+		verdict, next := claim.Decide(now, current, req)
 		assert.Equal(t, verdict, want)
 		if next != nil {
-			assert.Assert(t, next.Fence > have.Fence)
+			assert.Assert(t, next.Fence > current.Fence)
 		}
 	}
-	w.Digest = claim.Digest{2}
-	verdict, _ := claim.Decide(0, have, w)
-	assert.Equal(t, verdict, claim.Mismatch)
-	large := *claim.Finish(have, "a", claim.Result{State: claim.Done})
-	w.Digest = claim.Digest{1}
-	verdict, _ = claim.Decide(0, &large, w)
-	assert.Equal(t, verdict, claim.AnswerLost)
-	assert.Assert(t, claim.Finish(have, "b", claim.Result{State: claim.Done}) == nil)
-	assert.Assert(t, claim.Finish(&large, "a", claim.Result{State: claim.Free}) == nil)
+	req.Digest = claim.Digest{2}
+	verdict, _ := claim.Decide(0, current, req)
+	assert.Equal(t, verdict, claim.ContentMismatch)
+	large := *claim.Finish(current, "a", claim.Result{State: claim.Done})
+	req.Digest = claim.Digest{1}
+	verdict, _ = claim.Decide(0, &large, req)
+	assert.Equal(t, verdict, claim.AnswerNotKept)
+	assert.Assert(t, claim.Finish(current, "b", claim.Result{State: claim.Done}) == nil)
+	assert.Assert(t, claim.Finish(&large, "a", claim.Result{State: claim.NotRun}) == nil)
 }
 
-func TestLeaseEndsBeforeItsTime(t *testing.T) {
+func TestLeaseHasSafetyMargin(t *testing.T) {
 	l := claim.NewLease(time.Second, 5*time.Second)
 	assert.NilError(t, l.Check(5499*time.Millisecond))
-	assert.ErrorType(t, l.Check(5500*time.Millisecond), claim.Lapsed{})
+	assert.ErrorType(t, l.Check(5500*time.Millisecond), claim.LeaseExpiredError{})
 	l = claim.NewLease(0, time.Second)
 	assert.NilError(t, l.Check(799*time.Millisecond))
-	assert.ErrorType(t, l.Check(800*time.Millisecond), claim.Lapsed{})
+	assert.ErrorType(t, l.Check(800*time.Millisecond), claim.LeaseExpiredError{})
 }
 
-// Parts can't run into one another.
-func TestKeysAndDigestsAreApart(t *testing.T) {
+// Moving bytes from one field to the next changes the key or digest.
+func TestKeysAndDigestsSeparateFields(t *testing.T) {
 	assert.Assert(t, claim.KeyOf("a", "bc", "d") != claim.KeyOf("ab", "c", "d"))
 	for _, other := range []claim.Key{claim.KeyOf("b", "s", "k"), claim.KeyOf("a", "t", "k"), claim.KeyOf("a", "s", "l")} {
 		assert.Assert(t, claim.KeyOf("a", "s", "k") != other)
@@ -313,7 +318,8 @@
 	assert.Assert(t, claim.DigestOf("POST", "/a", "b", "", nil) != claim.DigestOf("POST", "/ab", "", "", nil))
 }
 
-// FuzzDecode: rows come from a store that others may write to.
+// FuzzDecode checks that arbitrary bytes do not cause a panic, because other
+// processes may write to the store, and that decoded rows survive a round trip.
 func FuzzDecode(f *testing.F) {
 	good, err := claim.Encode(&claim.Row{State: claim.Done, Holder: "h", Answer: &claim.Answer{Status: 200, Body: []byte("b")}})
 	if err != nil {
--- a/internal/core/claim/codec.go
+++ b/internal/core/claim/codec.go
@@ -2,35 +2,36 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// MaxStored is the most bytes of an answer's body that are kept with its claim.
-const MaxStored = 64 << 10
+// MaxAnswerBody is the size in bytes of the largest answer body that is stored
+// with a claim.
+const MaxAnswerBody = 64 << 10
 
-// Malformed is the error of a row that can't be read.
-type Malformed struct{ Err error }
+// MalformedError is returned for a row that cannot be encoded or decoded.
+type MalformedError struct{ Err error }
 
 // Error implements error.
-func (m Malformed) Error() string { return "malformed claim: " + m.Err.Error() }
+func (e MalformedError) Error() string { return "malformed claim: " + e.Err.Error() }
 
-// Unwrap returns the cause.
-func (m Malformed) Unwrap() error { return m.Err }
+// Unwrap returns the underlying error.
+func (e MalformedError) Unwrap() error { return e.Err }
 
-// Encode returns the row's stored form.
+// Encode returns the stored form of a row.
 func Encode(r *Row) ([]byte, error) {
-	b, err := cbor.Marshal(r)
+	data, err := cbor.Marshal(r)
 	if err != nil {
-		return nil, Malformed{err}
+		return nil, MalformedError{err}
 	}
-	return b, nil
+	return data, nil
 }
 
-// Decode reads a row's stored form; none is nil.
-func Decode(b []byte) (*Row, error) {
-	if len(b) == 0 {
+// Decode decodes the stored form of a row. It returns nil if data is empty.
+func Decode(data []byte) (*Row, error) {
+	if len(data) == 0 {
 		return nil, nil
 	}
 	var r Row
-	if err := cbor.Unmarshal(b, &r); err != nil {
-		return nil, Malformed{err}
+	if err := cbor.Unmarshal(data, &r); err != nil {
+		return nil, MalformedError{err}
 	}
 	return &r, nil
 }
--- a/internal/core/claim/golden_test.go
+++ b/internal/core/claim/golden_test.go
@@ -18,13 +18,13 @@
 		}
 		return err
 	}, Row{
-		State:  1,
-		Digest: Digest{5, 6, 7, 8, 9, 10, 11, 12},
-		Holder: "s12",
-		Fence:  13,
-		Until:  14,
-		Keep:   15,
-		Answer: &Answer{Status: 18, Header: map[string][]string{"s20": []string{"s22"}}, Body: []byte{24, 2, 3}},
+		State:        1,
+		Digest:       Digest{5, 6, 7, 8, 9, 10, 11, 12},
+		Holder:       "s12",
+		Fence:        13,
+		CallDeadline: 14,
+		RetainUntil:  15,
+		Answer:       &Answer{Status: 18, Header: map[string][]string{"s20": []string{"s22"}}, Body: []byte{24, 2, 3}},
 	})
 	golden.Check(t, "page.cbor", cbor.Marshal, cbor.Unmarshal, Page{Keys: []Key{"s26"}})
 	golden.Check(t, "manifest.cbor", cbor.Marshal, cbor.Unmarshal, Manifest{Writers: []Writer{Writer{Router: "s30", Incarnation: 31}}})
--- a/internal/core/claim/sweep.go
+++ b/internal/core/claim/sweep.go
@@ -8,135 +8,140 @@
 )
 
 const (
-	// Grace is how long after their time claims are kept all the same: for
-	// wall clocks that run apart, and for writers that were paused.
-	Grace = time.Hour
-	// sweepRows is the most claims read at once, and deleted in a transaction.
-	sweepRows = 32
-	// maxPageBits bounds the pages of a writer and hour to 2^24.
+	// GracePeriod is how long claims are kept beyond their retention time, to
+	// allow for differing wall clocks and for writers that were paused.
+	GracePeriod = time.Hour
+	// maxSweepRows is the maximum number of claims that are read at once and
+	// deleted in one transaction.
+	maxSweepRows = 32
+	// maxPageBits limits the pages of a writer in an hour to 2^24.
 	maxPageBits = 24
-	// maxSkip is how many empty hours are passed before the cursor is written.
-	maxSkip = 7 * 24
-	// never is an hour that is not due.
-	never = Hour(math.MaxInt64/hourMs) / 2
+	// maxSkippedHours is the number of empty hours that are skipped before the
+	// cursor is written.
+	maxSkippedHours = 7 * 24
+	// neverDue is an hour that never becomes due.
+	neverDue = Hour(math.MaxInt64/hourMs) / 2
 )
 
-// Ask is what a sweep wants of the table: rows to be read, or changes to be
-// committed together. If it has neither, there is nothing to do for now.
-type Ask struct {
+// Operation is the next table access of a sweep: keys of rows to read, or changes
+// to commit in one transaction. If both are empty, there is nothing to do.
+type Operation struct {
 	Read   []string
 	Commit []Change
 }
 
-// Swept counts what this router did with an hour. After failures a claim may be
-// counted again as kept or unreadable.
-type Swept struct {
+// SweepResult counts what this router did while sweeping an hour. After a failure,
+// a claim may be counted twice as kept or unreadable.
+type SweepResult struct {
 	Hour       Hour
 	Deleted    int      // claims
-	Kept       int      // claims that were taken again later
-	Unreadable []string // rows that can't be decoded: claims stay, others are dropped
+	Kept       int      // claims whose retention has not ended, because their keys were claimed again
+	Unreadable []string // keys of rows that cannot be decoded: such claims are kept, index rows are deleted
 }
 
-// step is what a sweep asks for next.
+// step is the next operation of a sweep.
 type step int
 
 const (
-	readCursor    step = iota
-	readManifests      // of the hour
-	readFirst          // the first pages of some writers
-	readLast           // pages that bracket a writer's last one
-	readPage           // a writer's last page
-	readClaims         // some that the page names
-	commitClaims       // their deletion, with that of the page after its last ones
-	commitHour         // the cursor, and the deletion of the manifests
+	readCursor     step = iota
+	readManifests       // all manifest shards of the hour
+	readFirstPages      // the first pages of a batch of writers
+	findLastPage        // search for the last page of a writer
+	readPage            // the last remaining page of the writer
+	readClaims          // a batch of the claims that the page lists
+	commitClaims        // delete expired claims and, after its last batch, the page
+	commitHour          // advance the cursor and delete the manifests
 )
 
-// Sweep deletes claims that are over, hour by hour, with their index. It holds
-// nothing that can't be read again: after any failure it begins anew at the
-// cursor. Pages are deleted from the last to the first, so that those left are
-// always found. Several sweeps may run at once: every deletion holds only for
-// the version that was read.
+// Sweep deletes expired claims and their index rows, hour by hour. All its state
+// can be read again from the table, so after any failure it restarts at the
+// cursor. The pages of a writer are deleted from the last to the first, so that
+// the remaining page numbers have no gaps and the search for the last page stays
+// correct. Several sweeps may run concurrently, because every deletion is
+// conditional on the version that was read.
 //
-// Each Next is to be followed by Rows, Committed or Failed, as it was answered.
+// Each call of Next must be followed by RowsRead, Committed or Failed, according
+// to the result of the operation.
 type Sweep struct {
 	self msg.RouterID
 
-	step      step
-	cursor    Stored
-	from      Hour // what the cursor says
-	hour      Hour // being swept
-	manifests []Stored
-	unread    []Writer // whose first page has not been read
-	writers   []Writer // that have pages
-	low, high int      // the writer's last page is at least low and below high
-	probes    []int    // pages asked for
-	page      Stored
-	claims    []Key // of the page, not yet seen
-	commit    []Change
-	swept     Swept
-	deletes   int // claims in commit
+	step          step
+	cursor        StoredRow
+	firstUnswept  Hour // as read from the cursor
+	hour          Hour // the hour being swept
+	manifests     []StoredRow
+	unchecked     []Writer // writers whose first page has not been read
+	writers       []Writer // writers that have pages
+	low, high     int      // the last page of writers[0] is in [low, high)
+	probes        []int    // page numbers requested in findLastPage
+	page          StoredRow
+	claims        []Key // claims listed by page that have not been read
+	commit        []Change
+	result        SweepResult
+	deletedClaims int // number of claim deletions in commit
 }
 
-// NewSweep returns the sweep of a router.
+// NewSweep returns the sweep run by the router self.
 func NewSweep(self msg.RouterID) *Sweep { return &Sweep{self: self} }
 
-// Failed makes the sweep begin anew: a call failed, a condition did not hold, or
-// its outcome is unknown.
-func (s *Sweep) Failed() { *s = Sweep{self: s.self, swept: s.swept} }
+// Failed restarts the sweep at the cursor. It must be called after an operation
+// that failed, whose condition did not hold, or whose outcome is unknown.
+func (s *Sweep) Failed() { *s = Sweep{self: s.self, result: s.result} }
 
-// Behind returns for how long, now (Unix ms), the first hour that is not swept
-// has been due. It is right after Rows.
-func (s *Sweep) Behind(now int64) time.Duration {
-	late := now - s.from.end() - Grace.Milliseconds()
+// Lag returns how long the first unswept hour has been due at the time now (Unix
+// ms). The result is valid after a call of RowsRead.
+func (s *Sweep) Lag(now int64) time.Duration {
+	late := now - s.firstUnswept.end() - GracePeriod.Milliseconds()
 	return time.Duration(max(late, 0)) * time.Millisecond
 }
 
-// due reports whether an hour may be swept, now (Unix ms).
-func due(now int64, h Hour) bool { return now > h.end()+Grace.Milliseconds() }
+// due reports whether an hour may be swept at the time now (Unix ms).
+func due(now int64, h Hour) bool { return now > h.end()+GracePeriod.Milliseconds() }
 
-// Next says what the sweep needs, now (Unix ms), if this router is the one among
-// the live to do it.
-func (s *Sweep) Next(now int64, live []msg.RouterID) Ask {
+// Next returns the next operation at the time now (Unix ms). The operation is
+// empty if no hour is due or another of the live routers sweeps it.
+func (s *Sweep) Next(now int64, live []msg.RouterID) Operation {
 	if s.step == readCursor {
-		return Ask{Read: []string{cursorKey}}
+		return Operation{Read: []string{cursorKey}}
 	}
-	if !due(now, s.from) || SweeperOf(s.from, live) != s.self {
+	if !due(now, s.firstUnswept) || SweeperOf(s.firstUnswept, live) != s.self {
 		s.Failed()
-		return Ask{}
+		return Operation{}
 	}
 	switch s.step {
 	case readManifests:
-		return Ask{Read: manifestKeys(s.hour)}
-	case readFirst:
-		return Ask{Read: s.firstPages()}
-	case readLast:
-		return Ask{Read: s.probePages()}
+		return Operation{Read: manifestKeys(s.hour)}
+	case readFirstPages:
+		return Operation{Read: s.firstPageKeys()}
+	case findLastPage:
+		return Operation{Read: s.lastPageProbes()}
 	case readPage:
-		return Ask{Read: []string{pageKey(s.hour, s.writers[0], s.low)}}
+		return Operation{Read: []string{pageKey(s.hour, s.writers[0], s.low)}}
 	case readClaims:
-		return Ask{Read: s.someClaims()}
+		return Operation{Read: s.claimBatch()}
 	default:
-		return Ask{Commit: s.commit}
+		return Operation{Commit: s.commit}
 	}
 }
 
-// Rows takes the rows that were asked for, in order, as read by now (Unix ms).
-// After an error, which is Malformed, the sweep begins anew.
-func (s *Sweep) Rows(now int64, rows []Stored) error {
+// RowsRead handles the requested rows, in the order of their keys, as read at the
+// time now (Unix ms). After an error, which is a [MalformedError], the sweep
+// restarts at the cursor.
+func (s *Sweep) RowsRead(now int64, rows []StoredRow) error {
 	var err error
 	switch s.step {
 	case readCursor:
-		err = s.seeCursor(rows[0])
+		err = s.handleCursor(rows[0])
 	case readManifests:
-		err = s.seeManifests(now, rows)
-	case readFirst:
-		s.seeFirst(rows)
-	case readLast:
-		s.seeLast(rows)
+		err = s.handleManifests(now, rows)
+	case readFirstPages:
+		s.handleFirstPages(rows)
+	case findLastPage:
+		s.narrowLastPage(rows)
 	case readPage:
-		s.seePage(rows[0])
+		s.handlePage(rows[0])
 	case readClaims:
-		s.seeClaims(now, rows)
+		s.handleClaims(now, rows)
 	}
 	if err != nil {
 		s.Failed()
@@ -144,18 +149,18 @@
 	return err
 }
 
-// Committed takes the success of the changes that were asked for. At the end of
-// an hour that had claims it returns what was done.
-func (s *Sweep) Committed() *Swept {
+// Committed records that the requested changes were committed. At the end of an
+// hour that had writers it returns the result of the hour, otherwise nil.
+func (s *Sweep) Committed() *SweepResult {
 	if s.step == commitHour {
-		swept, had := s.swept, len(s.manifests) > 0
+		result, hadClaims := s.result, len(s.manifests) > 0
 		s.Failed()
-		if had {
-			return &swept
+		if hadClaims {
+			return &result
 		}
 		return nil
 	}
-	s.swept.Deleted += s.deletes
-	s.afterClaims()
+	s.result.Deleted += s.deletedClaims
+	s.continuePage()
 	return nil
 }
--- a/internal/core/claim/sweephour.go
+++ b/internal/core/claim/sweephour.go
@@ -1,25 +1,27 @@
 package claim
 
-// The steps of a sweep from the cursor to an hour's writers, and its end.
+// The steps of a sweep that read the cursor and the writers of an hour, and that
+// finish the hour.
 
-// seeCursor begins with the first hour that is not swept.
-func (s *Sweep) seeCursor(row Stored) error {
+// handleCursor starts with the first unswept hour.
+func (s *Sweep) handleCursor(row StoredRow) error {
 	c := Cursor{}
 	if err := row.decode(&c); err != nil {
 		return err
 	}
-	s.cursor, s.from, s.hour = row, c.Hour, c.Hour
+	s.cursor, s.firstUnswept, s.hour = row, c.Hour, c.Hour
 	s.step = readManifests
-	if row.Version == 0 { // nothing was ever claimed
-		s.from = never
+	if row.Version == 0 { // no claim has ever been written
+		s.firstUnswept = neverDue
 	}
 	return nil
 }
 
-// seeManifests collects the hour's writers, or passes on to the next hour.
-func (s *Sweep) seeManifests(now int64, rows []Stored) error {
-	if s.swept.Hour != s.hour {
-		s.swept = Swept{Hour: s.hour}
+// handleManifests collects the writers of the hour, or skips to the next hour if
+// there are none.
+func (s *Sweep) handleManifests(now int64, rows []StoredRow) error {
+	if s.result.Hour != s.hour {
+		s.result = SweepResult{Hour: s.hour}
 	}
 	for _, row := range rows {
 		if row.Version == 0 {
@@ -27,35 +29,35 @@
 		}
 		var m Manifest
 		if row.decode(&m) != nil {
-			s.unreadable(row)
+			s.addUnreadable(row)
 			m = Manifest{}
 		}
 		s.manifests = append(s.manifests, row)
-		s.unread = append(s.unread, m.Writers...)
+		s.unchecked = append(s.unchecked, m.Writers...)
 	}
 	if len(s.manifests) > 0 {
-		s.step = readFirst
+		s.step = readFirstPages
 		return nil
 	}
-	if due(now, s.hour+1) && s.hour < s.from+maxSkip {
+	if due(now, s.hour+1) && s.hour < s.firstUnswept+maxSkippedHours {
 		s.hour++
 		return nil
 	}
-	return s.endHour()
+	return s.finishHour()
 }
 
-// unreadable notes a row that can't be decoded.
-func (s *Sweep) unreadable(row Stored) {
-	s.swept.Unreadable = append(s.swept.Unreadable, row.Key)
+// addUnreadable records a row that cannot be decoded.
+func (s *Sweep) addUnreadable(row StoredRow) {
+	s.result.Unreadable = append(s.result.Unreadable, row.Key)
 }
 
-// endHour moves the cursor behind the hour and deletes its manifests.
-func (s *Sweep) endHour() error {
-	moved, err := s.cursor.replace(Cursor{Hour: s.hour + 1})
+// finishHour advances the cursor past the hour and deletes its manifests.
+func (s *Sweep) finishHour() error {
+	cursorUpdate, err := s.cursor.replace(Cursor{Hour: s.hour + 1})
 	if err != nil {
 		return err
 	}
-	s.commit = []Change{moved}
+	s.commit = []Change{cursorUpdate}
 	for _, m := range s.manifests {
 		s.commit = append(s.commit, m.remove())
 	}
@@ -63,37 +65,38 @@
 	return nil
 }
 
-// firstPages are those of the next unread writers.
-func (s *Sweep) firstPages() []string {
+// firstPageKeys returns the keys of the first pages of the next unchecked writers.
+func (s *Sweep) firstPageKeys() []string {
 	var keys []string
-	for _, w := range s.unread[:min(len(s.unread), sweepRows)] {
+	for _, w := range s.unchecked[:min(len(s.unchecked), maxSweepRows)] {
 		keys = append(keys, pageKey(s.hour, w, 0))
 	}
 	return keys
 }
 
-// seeFirst keeps the writers that have pages. One that has none is done, or died
-// before it wrote any.
-func (s *Sweep) seeFirst(rows []Stored) {
+// handleFirstPages selects the writers that have pages. The pages of a writer
+// without any have already been swept, or it ended before writing one.
+func (s *Sweep) handleFirstPages(rows []StoredRow) {
 	for i, row := range rows {
 		if row.Version != 0 {
-			s.writers = append(s.writers, s.unread[i])
+			s.writers = append(s.writers, s.unchecked[i])
 		}
 	}
-	s.unread = s.unread[len(rows):]
+	s.unchecked = s.unchecked[len(rows):]
 	s.nextWriter()
 }
 
-// nextWriter goes on with a writer that has pages, or looks for more of them.
+// nextWriter continues with the next writer that has pages, or with the next
+// batch of unchecked writers, or finishes the hour.
 func (s *Sweep) nextWriter() {
 	switch {
 	case len(s.writers) > 0:
 		s.low, s.high = 0, 1<<maxPageBits
-		s.step = readLast
-	case len(s.unread) > 0:
-		s.step = readFirst
+		s.step = findLastPage
+	case len(s.unchecked) > 0:
+		s.step = readFirstPages
 	default:
-		if s.endHour() != nil { // does not happen: a cursor can be encoded
+		if s.finishHour() != nil { // cannot happen, because a cursor can always be encoded
 			s.Failed()
 		}
 	}
--- a/internal/core/claim/sweeppage.go
+++ b/internal/core/claim/sweeppage.go
@@ -1,10 +1,11 @@
 package claim
 
-// The steps of a sweep over one writer's pages, from the last to the first.
+// The steps of a sweep over the pages of one writer, from the last to the first.
 
-// probePages are the pages that bracket the last one: first by powers of two,
-// then by halves. A writer's pages are numbered without gaps.
-func (s *Sweep) probePages() []string {
+// lastPageProbes returns the keys of the pages to read in the search for the last
+// one: powers of two in the first round, then one page per round by bisection.
+// This works because the page numbers of a writer have no gaps.
+func (s *Sweep) lastPageProbes() []string {
 	s.probes = []int{(s.low + s.high) / 2}
 	if s.low == 0 && s.high == 1<<maxPageBits {
 		for bit := range maxPageBits - 1 {
@@ -18,8 +19,8 @@
 	return keys
 }
 
-// seeLast narrows the bracket of the last page.
-func (s *Sweep) seeLast(rows []Stored) {
+// narrowLastPage narrows the range that contains the last page.
+func (s *Sweep) narrowLastPage(rows []StoredRow) {
 	for i, row := range rows {
 		if row.Version == 0 {
 			s.high = min(s.high, s.probes[i])
@@ -32,38 +33,39 @@
 	}
 }
 
-// seePage takes the claims that a page names.
-func (s *Sweep) seePage(row Stored) {
-	if row.Version == 0 { // another sweep was faster
+// handlePage stores the claims that the page lists.
+func (s *Sweep) handlePage(row StoredRow) {
+	if row.Version == 0 { // deleted by a concurrent sweep
 		s.Failed()
 		return
 	}
 	var p Page
 	if row.decode(&p) != nil {
-		s.unreadable(row)
+		s.addUnreadable(row)
 		p = Page{}
 	}
 	s.page, s.claims = row, p.Keys
 	s.step = readClaims
 	if len(s.claims) == 0 {
-		s.commit, s.deletes = []Change{row.remove()}, 0
+		s.commit, s.deletedClaims = []Change{row.remove()}, 0
 		s.step = commitClaims
 	}
 }
 
-// someClaims are the next ones of the page.
-func (s *Sweep) someClaims() []string {
+// claimBatch returns the keys of the page's next batch of claims.
+func (s *Sweep) claimBatch() []string {
 	var keys []string
-	for _, k := range s.claims[:min(len(s.claims), sweepRows)] {
-		keys = append(keys, string(k))
+	for _, key := range s.claims[:min(len(s.claims), maxSweepRows)] {
+		keys = append(keys, string(key))
 	}
 	return keys
 }
 
-// seeClaims decides which claims go. One that was taken again is named by a later
-// page too, and left to that.
-func (s *Sweep) seeClaims(now int64, rows []Stored) {
-	s.claims, s.commit, s.deletes = s.claims[len(rows):], nil, 0
+// handleClaims selects the claims to delete. A key that was claimed again, with a
+// later retention time, is kept here; the page written with the later claim lists
+// it too.
+func (s *Sweep) handleClaims(now int64, rows []StoredRow) {
+	s.claims, s.commit, s.deletedClaims = s.claims[len(rows):], nil, 0
 	seen := map[string]bool{}
 	for _, row := range rows {
 		if row.Version == 0 || seen[row.Key] {
@@ -73,12 +75,12 @@
 		claimed, err := Decode(row.Value)
 		switch {
 		case err != nil || claimed == nil:
-			s.unreadable(row)
-		case now <= claimed.Keep+Grace.Milliseconds():
-			s.swept.Kept++
+			s.addUnreadable(row)
+		case now <= claimed.RetainUntil+GracePeriod.Milliseconds():
+			s.result.Kept++
 		default:
 			s.commit = append(s.commit, row.remove())
-			s.deletes++
+			s.deletedClaims++
 		}
 	}
 	if len(s.claims) == 0 {
@@ -86,13 +88,13 @@
 	}
 	s.step = commitClaims
 	if len(s.commit) == 0 {
-		s.afterClaims()
+		s.continuePage()
 	}
 }
 
-// afterClaims goes on with the page's next claims, or the page before, or the
-// next writer.
-func (s *Sweep) afterClaims() {
+// continuePage continues with the next batch of claims of the page, the previous
+// page or the next writer.
+func (s *Sweep) continuePage() {
 	s.commit = nil
 	switch {
 	case len(s.claims) > 0:
--- a/internal/proxy/claimed.go
+++ b/internal/proxy/claimed.go
@@ -17,7 +17,7 @@
 // Claims keeps the claims of Idempotency-Keys; package claims does.
 type Claims interface {
 	// Take asks to run the call of a key. See [claim.Decide].
-	Take(ctx context.Context, key claim.Key, want claim.Want) (claim.Verdict, *claim.Row, error)
+	Take(ctx context.Context, key claim.Key, want claim.Request) (claim.Verdict, *claim.Row, error)
 	// Finish writes the result of a held claim without blocking, and closes the
 	// channel once it is written or given up.
 	Finish(key claim.Key, holder msg.RequestID, r claim.Result) <-chan struct{}
@@ -83,7 +83,7 @@
 		s.refuse(problem.ClaimsUnavailable, defaultRetryAfter)
 		return
 	}
-	if verdict != claim.Take {
+	if verdict != claim.Granted {
 		s.answerRepeat(verdict, row)
 		return
 	}
@@ -92,14 +92,14 @@
 
 // wantClaim is what the call asks the claims for. Its holder is over once its
 // lease and the time it may take have passed.
-func (s *serviceRun) wantClaim(fleet settings.Fleet) claim.Want {
+func (s *serviceRun) wantClaim(fleet settings.Fleet) claim.Request {
 	until := s.deadline.Add(clockSkew)
 	keep := until.Add(orDefault(fleet.ClaimKeep, defaultKeep))
-	return claim.Want{
+	return claim.Request{
 		Digest: claim.DigestOf(s.r.Method, s.path, s.r.URL.RawQuery, s.r.Header.Get("Content-Type"), s.body),
 		Holder: s.want.ID,
-		Until:  until.UnixMilli(),
-		Keep:   keep.UnixMilli(),
+		CallDeadline:  until.UnixMilli(),
+		RetainUntil:   keep.UnixMilli(),
 	}
 }
 
@@ -113,9 +113,9 @@
 		s.send(wholeAnswer{status: row.Answer.Status, header: header, body: row.Answer.Body, length: -1})
 	case claim.InProgress:
 		s.refuseKey(problem.ClaimRunning, attempt.Unknown, defaultRetryAfter)
-	case claim.Mismatch:
+	case claim.ContentMismatch:
 		s.refuseKey(problem.ClaimMismatch, attempt.NotSent, 0)
-	case claim.AnswerLost:
+	case claim.AnswerNotKept:
 		s.refuseKey(problem.AnswerLost, attempt.Ended, 0)
 	default:
 		s.refuseKey(problem.OutcomeUnknown, attempt.Unknown, 0)
@@ -161,17 +161,17 @@
 func (s *serviceRun) result() claim.Result {
 	switch s.x.Outcome() {
 	case attempt.NotSent, attempt.Refused:
-		return claim.Result{State: claim.Free}
+		return claim.Result{State: claim.NotRun}
 	case attempt.Ended:
 		return claim.Result{State: claim.Done, Answer: s.stored()}
 	default:
-		return claim.Result{State: claim.Lost}
+		return claim.Result{State: claim.Indeterminate}
 	}
 }
 
 // stored returns the answer as it is kept, or nil if it is too large.
 func (s *serviceRun) stored() *claim.Answer {
-	if s.sent || len(s.answer.body) > claim.MaxStored {
+	if s.sent || len(s.answer.body) > claim.MaxAnswerBody {
 		return nil
 	}
 	return &claim.Answer{Status: s.answer.status, Header: s.answer.header, Body: s.answer.body}
--- a/internal/proxy/mechanism_test.go
+++ b/internal/proxy/mechanism_test.go
@@ -109,9 +109,9 @@
 // slowTable takes longer to claim a key than the lease lasts.
 type slowTable struct{ *clock }
 
-func (s slowTable) Take(_ context.Context, _ claim.Key, w claim.Want) (claim.Verdict, *claim.Row, error) {
+func (s slowTable) Take(_ context.Context, _ claim.Key, w claim.Request) (claim.Verdict, *claim.Row, error) {
 	s.ahead(time.Hour)
-	return claim.Take, &claim.Row{Holder: w.Holder, Fence: 1}, nil
+	return claim.Granted, &claim.Row{Holder: w.Holder, Fence: 1}, nil
 }
 
 func (s slowTable) Finish(claim.Key, msg.RequestID, claim.Result) <-chan struct{} {
@@ -233,7 +233,7 @@
 		defer u.close()
 		s := &serviceRun{run: u}
 		u.x.BeginAttempt()
-		assert.Equal(t, s.notAnswered(&backend.Error{Stage: backend.StageSend, Outcome: sent, Err: claim.Lapsed{}}), attempt.Fail)
+		assert.Equal(t, s.notAnswered(&backend.Error{Stage: backend.StageSend, Outcome: sent, Err: claim.LeaseExpiredError{}}), attempt.Fail)
 		u.fail()
 		assert.Equal(t, u.finish.Problem, want)
 		assert.Equal(t, w.Header().Get("Windscale-Run"), sent.Ran())
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -274,7 +274,7 @@
 
 // lapsed reports whether the lease of the claim stopped the call.
 func (u *run) lapsed() bool {
-	var lapsed claim.Lapsed
+	var lapsed claim.LeaseExpiredError
 	return u.last != nil && (stderrors.As(u.last, &lapsed) || stderrors.Is(u.last, backend.ErrFence))
 }
 
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -68,7 +68,7 @@
 // notAnswered steps the exchange by a failure before the answer. A lapsed claim
 // is over: another server would get the call too late as well.
 func (s *serviceRun) notAnswered(failure *backend.Error) attempt.Action {
-	var lapsed claim.Lapsed
+	var lapsed claim.LeaseExpiredError
 	switch {
 	case stderrors.As(failure, &lapsed):
 		s.logLease(events.ClaimLapsed)
