--- a/internal/core/settings/build.go
+++ b/internal/core/settings/build.go
@@ -9,8 +9,8 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Build parses and checks a settings text. It returns the snapshot, or every
-// fault that the text has.
+// Build parses and validates a settings text. It returns the snapshot, or all
+// faults of the text.
 func Build(version uint64, source []byte) (*Snapshot, []Fault) {
 	sections, faults := parse(source)
 	b := builder{
@@ -25,7 +25,7 @@
 		},
 		faults: faults,
 	}
-	b.sections(sections)
+	b.build(sections)
 	if len(b.faults) > 0 {
 		return nil, b.faults
 	}
@@ -37,102 +37,103 @@
 	faults []Fault
 }
 
-func (b *builder) fault(section, key string, kind FaultKind, detail string) {
+func (b *builder) addFault(section, key string, kind FaultKind, detail string) {
 	b.faults = append(b.faults, Fault{section, key, kind, detail})
 }
 
-// sections sorts the sections by kind, and builds the tree when all services
+// build handles the sections by kind. It builds the tree last, when all services
 // are known.
-func (b *builder) sections(all []*section) {
-	var branches []*section
+func (b *builder) build(all []*section) {
+	var treeSections []*section
 	for _, s := range all {
 		switch {
-		case len(s.name) > MaxName:
-			detail := fmt.Sprintf("a name of %d bytes, the limit is %d", len(s.name), MaxName)
-			b.fault(s.name[:MaxName], "", FaultTooLarge, detail)
+		case len(s.name) > MaxSectionName:
+			detail := fmt.Sprintf("the name has %d bytes, the limit is %d", len(s.name), MaxSectionName)
+			b.addFault(s.name[:MaxSectionName], "", FaultTooLarge, detail)
 		case s.name == fleetSection:
-			b.faults = append(b.faults, fill(s, fleetKeys, &b.snap.Fleet)...)
+			b.faults = append(b.faults, setValues(s, fleetKeys, &b.snap.Fleet)...)
 		case strings.HasPrefix(s.name, servicePrefix):
-			b.service(s)
+			b.addService(s)
 		case s.name == rootSection, strings.HasPrefix(s.name, treePrefix):
-			branches = append(branches, s)
+			treeSections = append(treeSections, s)
 		default:
-			b.fault(s.name, "", FaultUnknownSection, "want fleet, service NAME, tree or tree/PATH")
+			b.addFault(s.name, "", FaultUnknownSection, "want fleet, service NAME, tree or tree/PATH")
 		}
 	}
-	b.tree(newTree(branches))
-	b.limits()
+	b.addTree(newTree(treeSections))
+	b.checkLimits()
 }
 
-// service builds a plain service from its section.
-func (b *builder) service(s *section) {
+// addService adds the plain service that a section defines.
+func (b *builder) addService(s *section) {
 	name := strings.TrimPrefix(s.name, servicePrefix)
-	if !goodItem(name) {
-		b.fault(s.name, "", FaultBadName, "want letters, digits, -, _, . and :")
+	if !validItemName(name) {
+		b.addFault(s.name, "", FaultBadName, "want letters, digits, -, _, . and :")
 	}
 	svc := defaults(serviceKeys)
 	svc.Name = name
-	b.faults = append(b.faults, fill(s, serviceKeys, &svc)...)
+	b.faults = append(b.faults, setValues(s, serviceKeys, &svc)...)
 	b.snap.Services[name] = svc
 }
 
-// tree checks every section of the tree and builds the customers.
-func (b *builder) tree(t *tree) {
+// addTree checks every section of the tree and adds the customers.
+func (b *builder) addTree(t *tree) {
 	b.snap.tree = t
 	for _, s := range t.sections {
-		var own Customer
-		b.faults = append(b.faults, t.shape(s)...)
-		b.faults = append(b.faults, fill(s, treeKeys, &own)...)
-		b.knownServices(s.name, own.Services)
+		var parsed Customer
+		b.faults = append(b.faults, t.checkPlacement(s)...)
+		b.faults = append(b.faults, setValues(s, treeKeys, &parsed)...)
+		b.checkServices(s.name, parsed.Services)
 		if t.isLeaf(s.name) {
-			b.customer(t, s.name)
+			b.addCustomer(t, s.name)
 		}
 	}
 }
 
-// knownServices checks what a section itself allows.
-func (b *builder) knownServices(section string, names []string) {
+// checkServices checks that the services listed in a section are defined.
+func (b *builder) checkServices(section string, names []string) {
 	for _, name := range names {
-		if _, ok := b.snap.Services[name]; !ok && name != All {
-			b.fault(section, "services", FaultUnknownService, fmt.Sprintf("[service %s] is not written", name))
+		if _, ok := b.snap.Services[name]; !ok && name != Wildcard {
+			b.addFault(section, "services", FaultUnknownService, fmt.Sprintf("[service %s] is not defined", name))
 		}
 	}
 }
 
-// customer builds the customer of a leaf from the values that hold there.
-func (b *builder) customer(t *tree, name string) {
+// addCustomer adds the customer of a leaf with its own and inherited values.
+func (b *builder) addCustomer(t *tree, name string) {
 	c := DefaultCustomer()
 	c.Path = customerID(name)
 	for _, k := range treeKeys {
 		if v, _, ok := t.lookup(name, k.Name); ok {
-			k.set(&c, v) // a bad value is reported where it is written
+			k.set(&c, v) // addTree reports a bad value for the section that contains it
 		}
 	}
 	b.snap.Customers[c.Path] = &c
-	if len(c.Keys) > MaxKeys {
-		b.fault(name, keysKey, FaultTooLarge, fmt.Sprintf("%d keys, the limit is %d", len(c.Keys), MaxKeys))
+	if len(c.Keys) > MaxCustomerKeys {
+		b.addFault(name, keysKey, FaultTooLarge, fmt.Sprintf("%d keys, the limit is %d", len(c.Keys), MaxCustomerKeys))
 	}
 	for _, h := range c.Keys {
 		if other, taken := b.snap.byKey[h]; taken {
-			b.fault(name, keysKey, FaultSharedKey, fmt.Sprintf("the key %x... is also a key of %s", h[:4], other.Path))
+			b.addFault(name, keysKey, FaultSharedKey, fmt.Sprintf("the key with hash %x... also belongs to %s", h[:4], other.Path))
 			continue
 		}
 		b.snap.byKey[h] = &c
 	}
 }
 
-func (b *builder) limits() {
+func (b *builder) checkLimits() {
 	if n := len(b.snap.Customers); n > MaxCustomers {
-		b.fault(rootSection, "", FaultTooLarge, fmt.Sprintf("%d customers, the limit is %d", n, MaxCustomers))
+		b.addFault(rootSection, "", FaultTooLarge, fmt.Sprintf("%d customers, the limit is %d", n, MaxCustomers))
 	}
 	if n := len(b.snap.Services); n > MaxServices {
-		b.fault(strings.TrimSpace(servicePrefix), "", FaultTooLarge, fmt.Sprintf("%d services, the limit is %d", n, MaxServices))
+		b.addFault(strings.TrimSpace(servicePrefix), "", FaultTooLarge, fmt.Sprintf("%d services, the limit is %d", n, MaxServices))
 	}
 }
 
-// fill sets the values that a section gives and reports each that it can't.
-func fill[T any](s *section, specs []spec[T], t *T) []Fault {
-	byName := map[string]spec[T]{}
+// setValues sets the values of a section in t. It reports unknown keys and bad
+// values.
+func setValues[T any](s *section, specs []keySpec[T], t *T) []Fault {
+	byName := map[string]keySpec[T]{}
 	for _, k := range specs {
 		byName[k.Name] = k
 	}
@@ -144,17 +145,17 @@
 			continue
 		}
 		if !k.set(t, s.values[name]) {
-			faults = append(faults, Fault{s.name, name, FaultBadValue, badValue(k.Key, s.values[name])})
+			faults = append(faults, Fault{s.name, name, FaultBadValue, badValueDetail(k.Key, s.values[name])})
 		}
 	}
 	return faults
 }
 
-// badValue says what was wanted. What stands in place of a hash may be a
-// caller's key itself, and is not shown.
-func badValue(k Key, got string) string {
+// badValueDetail describes the expected format. It does not show the value of
+// the key "keys", which may be a caller's key written in place of its hash.
+func badValueDetail(k Key, got string) string {
 	if k.Name == keysKey {
-		return "want " + k.Form
+		return "want " + k.Format
 	}
-	return fmt.Sprintf("got %.40q, want %s", got, k.Form)
+	return fmt.Sprintf("got %.40q, want %s", got, k.Format)
 }
--- a/internal/core/settings/change.go
+++ b/internal/core/settings/change.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// CheckChange reports the customers of prev that next lacks although their
-// keys were live. Such a customer is first to be given keys = none, so that
-// no caller loses its access by a slip. A nil prev has no customers.
+// CheckChange reports the customers that have keys in prev and are missing from
+// next. The keys of such a customer must first be withdrawn with keys = none, so
+// that no caller loses access by mistake. A nil prev has no customers.
 func CheckChange(prev, next *Snapshot) []Fault {
 	if prev == nil {
 		return nil
@@ -19,7 +19,7 @@
 		if _, kept := next.Customers[path]; kept || n == 0 {
 			continue
 		}
-		detail := fmt.Sprintf("version %d has %d live keys here; set keys = none first", prev.Version, n)
+		detail := fmt.Sprintf("version %d has %d keys for this customer; set keys = none first", prev.Version, n)
 		faults = append(faults, Fault{treePrefix + string(path), keysKey, FaultRemovedLive, detail})
 	}
 	return faults
--- a/internal/core/settings/diff.go
+++ b/internal/core/settings/diff.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// ChangeKind classes the differences between two settings. Its text is stable
-// in the output of windscalectl.
+// ChangeKind is the kind of a difference between two settings texts. Its values
+// are part of the output of windscalectl and must not change.
 type ChangeKind string
 
 // The kinds of Change.
@@ -15,11 +15,11 @@
 	KeyChanged     ChangeKind = "key-changed"
 )
 
-// Change is one difference between two settings as they are written.
+// Change is one difference between two settings texts.
 type Change struct {
 	Kind    ChangeKind
 	Section string
-	Key     string // "" when the whole section came or went
+	Key     string // "" if the whole section was added or removed
 	Old     string
 	New     string
 }
@@ -40,12 +40,13 @@
 	}
 }
 
-// Diff returns what changes from a to b: first what a has, in its order, then
-// what only b has. A nil a has no sections. Order and comments don't count.
+// Diff returns the changes from a to b, ignoring order and comments. Changes of
+// sections in a come first, in the order of a, followed by the sections that are
+// only in b. A nil a has no sections.
 func Diff(a, b *Snapshot) []Change {
-	old, next := written(a), written(b)
-	inNext := index(next)
-	inOld := index(old)
+	old, next := sectionsOf(a), sectionsOf(b)
+	inNext := sectionsByName(next)
+	inOld := sectionsByName(old)
 	var out []Change
 	for _, s := range old {
 		out = append(out, diffSection(s, inNext[s.name])...)
@@ -58,8 +59,9 @@
 	return out
 }
 
-// written returns the sections of a snapshot, which parsed before.
-func written(s *Snapshot) []*section {
+// sectionsOf returns the sections of a snapshot. Its source is known to be
+// valid, so faults are ignored.
+func sectionsOf(s *Snapshot) []*section {
 	if s == nil {
 		return nil
 	}
@@ -67,7 +69,7 @@
 	return sections
 }
 
-func index(sections []*section) map[string]*section {
+func sectionsByName(sections []*section) map[string]*section {
 	out := map[string]*section{}
 	for _, s := range sections {
 		out[s.name] = s
@@ -75,7 +77,8 @@
 	return out
 }
 
-// diffSection compares two sections of one name; a nil one is not written.
+// diffSection compares two sections with the same name. Either may be nil, which
+// means that the section is absent.
 func diffSection(a, b *section) []Change {
 	var out []Change
 	switch {
--- a/internal/core/settings/docs_test.go
+++ b/internal/core/settings/docs_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert/cmp"
 )
 
-// docs/SETTINGS.md lists, under a heading for each kind of section, every key
-// with its default, form and meaning, and no others.
-func TestPageListsEveryKey(t *testing.T) {
+// docs/SETTINGS.md must list, under a heading for each kind of section, every key
+// with its default, format and meaning, and no other keys.
+func TestDocsListEveryKey(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/SETTINGS.md")
 	assert.NilError(t, err)
 	page := string(text)
@@ -22,7 +22,7 @@
 	for _, kind := range AllKeys() {
 		want = append(want, "## ["+kind.Section+"]")
 		for _, k := range kind.Keys {
-			want = append(want, fmt.Sprintf("| `%s` | `%s` | %s | %s |", k.Name, k.Default, k.Form, k.Meaning))
+			want = append(want, fmt.Sprintf("| `%s` | `%s` | %s | %s |", k.Name, k.Default, k.Format, k.Meaning))
 		}
 	}
 	line := regexp.MustCompile("(?m)^(## \\[.*|\\| `.*)$")
@@ -30,8 +30,8 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// docs/SETTINGS.md names every kind of fault that fault.go declares.
-func TestPageListsEveryFault(t *testing.T) {
+// docs/SETTINGS.md must list every kind of fault that fault.go declares.
+func TestDocsListEveryFault(t *testing.T) {
 	source, err := os.ReadFile("fault.go")
 	assert.NilError(t, err)
 	declared := regexp.MustCompile(`(?m)^\tFault\w+ +FaultKind = "(.+?)"`).FindAllSubmatch(source, -1)
@@ -43,12 +43,12 @@
 	}
 }
 
-// The example of docs/SETTINGS.md passes the checks.
-func TestExampleOfThePageIsGood(t *testing.T) {
+// The example in docs/SETTINGS.md must be valid.
+func TestDocsExampleIsValid(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/SETTINGS.md")
 	assert.NilError(t, err)
 	blocks := strings.Split(string(text), "```")
 	i := slices.IndexFunc(blocks, func(b string) bool { return strings.HasPrefix(b, "ini\n") })
-	s := build(t, 1, strings.TrimPrefix(blocks[i], "ini\n"))
+	s := mustBuild(t, 1, strings.TrimPrefix(blocks[i], "ini\n"))
 	assert.Assert(t, len(s.Customers) > 1)
 }
--- a/internal/core/settings/effective.go
+++ b/internal/core/settings/effective.go
@@ -1,27 +1,28 @@
 package settings
 
-// FromDefault is the place that a value comes from when no section gives it.
+// FromDefault is the origin of a value that no section sets.
 const FromDefault = "default"
 
-// Effective is one value of a branch with the section that it comes from.
-type Effective struct {
+// EffectiveValue is the value of a key for a customer or group, with the section
+// that sets it.
+type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 	From  string `json:"from"`
 }
 
-// Effective returns every value that holds at a customer or group, in the
-// order of the documentation, or false when there is no such path. The path
-// "" is the root.
-func (s *Snapshot) Effective(path string) ([]Effective, bool) {
+// Effective returns all values in effect for a customer or group, in the order of
+// the documentation. It returns false if the path does not exist. The path "" is
+// the root.
+func (s *Snapshot) Effective(path string) ([]EffectiveValue, bool) {
 	name := rootSection
 	if path != "" {
 		name = treePrefix + path
 	}
-	if s.tree.nodes[name] == nil {
+	if s.tree.byName[name] == nil {
 		return nil, false
 	}
-	var out []Effective
+	var out []EffectiveValue
 	for _, k := range treeKeys {
 		if k.Name == keysKey && !s.tree.isLeaf(name) {
 			continue
@@ -30,7 +31,7 @@
 		if !ok {
 			value, from = k.Default, FromDefault
 		}
-		out = append(out, Effective{k.Name, value, from})
+		out = append(out, EffectiveValue{k.Name, value, from})
 	}
 	return out, true
 }
--- a/internal/core/settings/holder.go
+++ b/internal/core/settings/holder.go
@@ -2,39 +2,40 @@
 
 import "crypto/sha256"
 
-// Offer is a version of the settings that a router is offered, from the table
-// or from a peer.
+// Offer is a version of the settings that a router received from the table or
+// from a peer.
 type Offer struct {
 	Version uint64
 	Digest  [sha256.Size]byte
 	Source  []byte
 }
 
-// Verdict is what became of an offer.
+// Verdict is the result of an offer.
 type Verdict string
 
 // The verdicts on an offer.
 const (
-	Taken     Verdict = "taken"           // it is in force now
-	Known     Verdict = "known"           // it is in force already
-	Older     Verdict = "older"           // a higher version is in force
-	Mismatch  Verdict = "digest-mismatch" // the text does not have the digest
-	Diverging Verdict = "diverging"       // the version in force has another digest
-	Faulty    Verdict = "faulty"          // the text does not pass the checks of this release
+	Applied         Verdict = "taken"           // the offered version has been applied
+	AlreadyApplied  Verdict = "known"           // the same version is already applied
+	Older           Verdict = "older"           // a higher version is applied, or the offer has version 0
+	DigestMismatch  Verdict = "digest-mismatch" // the text does not match its digest
+	VersionConflict Verdict = "diverging"       // the same version is applied with a different digest
+	Invalid         Verdict = "faulty"          // the text fails the validation of this release
 )
 
-// Holder holds the version in force at one router. It takes only a higher
-// version than it has, whole and checked, whoever offers it, and so never goes
-// back. It may be used from one goroutine at a time; the snapshots it returns
-// from any. The zero Holder holds none.
+// Holder holds the applied settings of one router. It accepts an offer from any
+// source only if the version is higher than the applied one and the whole text is
+// valid, so it never returns to an older version. A Holder is not safe for
+// concurrent use; the snapshots that it returns are. The zero Holder has no
+// settings.
 type Holder struct {
 	current *Snapshot
 }
 
-// Current returns the snapshot in force, nil before the first.
+// Current returns the applied snapshot, or nil if there is none.
 func (h *Holder) Current() *Snapshot { return h.current }
 
-// Version returns the version in force, 0 before the first.
+// Version returns the applied version, or 0 if there is none.
 func (h *Holder) Version() uint64 {
 	if h.current == nil {
 		return 0
@@ -42,7 +43,8 @@
 	return h.current.Version
 }
 
-// Offer decides on an offer. Version 0 is no version. The faults come with Faulty only.
+// Offer applies the offered settings if they are acceptable. Version 0 is never
+// valid. The faults are returned only with Invalid.
 func (h *Holder) Offer(o Offer) (Verdict, []Fault) {
 	if o.Version == 0 || o.Version < h.Version() {
 		return Older, nil
@@ -51,19 +53,19 @@
 		return h.sameVersion(o), nil
 	}
 	if sha256.Sum256(o.Source) != o.Digest {
-		return Mismatch, nil
+		return DigestMismatch, nil
 	}
 	snap, faults := Build(o.Version, o.Source)
 	if len(faults) > 0 {
-		return Faulty, faults
+		return Invalid, faults
 	}
 	h.current = snap
-	return Taken, nil
+	return Applied, nil
 }
 
 func (h *Holder) sameVersion(o Offer) Verdict {
 	if o.Digest != h.current.Digest {
-		return Diverging
+		return VersionConflict
 	}
-	return Known
+	return AlreadyApplied
 }
--- a/internal/core/settings/parse.go
+++ b/internal/core/settings/parse.go
@@ -10,12 +10,12 @@
 
 // Limits on a settings text.
 const (
-	MaxSource    = 1 << 20 // bytes
-	MaxCustomers = 4096
-	MaxServices  = 256
-	MaxKeys      = 16  // caller's keys of one customer
-	MaxDepth     = 8   // sections from the root to a customer
-	MaxName      = 640 // bytes of a section's name
+	MaxSource       = 1 << 20 // bytes
+	MaxCustomers    = 4096
+	MaxServices     = 256
+	MaxCustomerKeys = 16  // caller's keys per customer
+	MaxDepth        = 8   // levels of sections below the root
+	MaxSectionName  = 640 // bytes
 )
 
 const (
@@ -25,24 +25,24 @@
 	treePrefix    = rootSection + "/"
 )
 
-// section is one section as written.
+// section is a section of the text.
 type section struct {
 	name   string
-	order  []string // its keys, as written
+	order  []string // keys in the order of the text
 	values map[string]string
 }
 
-// parse reads the text into sections and reports what stands twice.
+// parse splits the text into sections and reports duplicates.
 func parse(source []byte) ([]*section, []Fault) {
 	if len(source) > MaxSource {
 		detail := fmt.Sprintf("%d bytes, the limit is %d", len(source), MaxSource)
 		return nil, []Fault{{Kind: FaultTooLarge, Detail: detail}}
 	}
-	if faults := quotes(source); len(faults) > 0 {
+	if faults := rejectMultilineValues(source); len(faults) > 0 {
 		return nil, faults
 	}
-	// The library must neither merge what stands twice nor look keys up in
-	// other sections, and a lone word is to become an unknown key so that it
+	// The library must not merge duplicates or look up keys in other sections. A
+	// line without a delimiter must become a key with a bad value, so that it
 	// does not hide the faults after it.
 	options := ini.LoadOptions{
 		AllowBooleanKeys:           true,
@@ -50,7 +50,7 @@
 		AllowNonUniqueSections:     true,
 		AllowShadows:               true,
 		ChildSectionDelimiter:      "\x00",
-		IgnoreContinuation:         true, // its time grows with the square of the length
+		IgnoreContinuation:         true, // takes time quadratic in the length
 		KeyValueDelimiters:         "=",
 		PreserveEmptyShadowValues:  true,
 	}
@@ -61,9 +61,9 @@
 	return collect(file)
 }
 
-// quotes refuses the quotes that begin a value of several lines, which no key
-// needs: the library's time for one grows with the square of its length.
-func quotes(source []byte) []Fault {
+// rejectMultilineValues reports quotes that start a multi-line value. No key needs
+// such values, and the library takes time quadratic in their length.
+func rejectMultilineValues(source []byte) []Fault {
 	var faults []Fault
 	n := 0
 	for line := range bytes.Lines(source) {
@@ -73,24 +73,24 @@
 			continue
 		}
 		if bytes.Contains(line, []byte(`"""`)) || bytes.ContainsRune(line, '`') {
-			detail := fmt.Sprintf("line %d: values of several lines are not supported", n)
+			detail := fmt.Sprintf("line %d: multi-line values are not supported", n)
 			faults = append(faults, Fault{Kind: FaultSyntax, Detail: detail})
 		}
 	}
 	return faults
 }
 
-// syntaxDetail passes on what the library says of a section's line only: any
-// other line may hold a caller's key.
+// syntaxDetail returns the library's message only for errors in a section header,
+// because any other line may contain a caller's key.
 func syntaxDetail(err error) string {
 	if strings.HasPrefix(err.Error(), "unclosed section") {
 		return err.Error()
 	}
-	return "a quote is not closed, or a key has no name"
+	return "unclosed quote, or key without a name"
 }
 
-// collect returns the sections in the order of the text. One that stands
-// twice is a fault and is left out.
+// collect returns the sections in the order of the text. A duplicate section is
+// reported and left out.
 func collect(file *ini.File) ([]*section, []Fault) {
 	var out []*section
 	var faults []Fault
@@ -101,34 +101,34 @@
 			continue
 		}
 		if seen[name] {
-			faults = append(faults, twice(sec))
+			faults = append(faults, duplicateSection(sec))
 			continue
 		}
 		seen[name] = true
-		s, dups := read(sec)
+		s, duplicates := readSection(sec)
 		out = append(out, s)
-		faults = append(faults, dups...)
+		faults = append(faults, duplicates...)
 	}
 	return out, faults
 }
 
-func twice(sec *ini.Section) Fault {
+func duplicateSection(sec *ini.Section) Fault {
 	kind := FaultDuplicateSection
 	if strings.HasPrefix(sec.Name(), treePrefix) && sec.HasKey(keysKey) {
 		kind = FaultDuplicateCustomer
 	}
-	return Fault{Section: sec.Name(), Kind: kind, Detail: "the section stands more than once"}
+	return Fault{Section: sec.Name(), Kind: kind, Detail: "the section is defined more than once"}
 }
 
-// read copies one section and reports the keys that stand twice.
-func read(sec *ini.Section) (*section, []Fault) {
+// readSection copies a section and reports duplicate keys.
+func readSection(sec *ini.Section) (*section, []Fault) {
 	s := &section{name: sec.Name(), values: map[string]string{}}
 	var faults []Fault
 	for _, k := range sec.Keys() {
 		s.order = append(s.order, k.Name())
 		s.values[k.Name()] = strings.TrimSpace(k.Value())
 		if n := len(k.ValueWithShadows()); n > 1 {
-			detail := fmt.Sprintf("the key stands %d times", n)
+			detail := fmt.Sprintf("the key is defined %d times", n)
 			faults = append(faults, Fault{s.name, k.Name(), FaultDuplicateKey, detail})
 		}
 	}
--- a/internal/core/settings/settings_test.go
+++ b/internal/core/settings/settings_test.go
@@ -17,8 +17,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// good is a settings text with two groups and three customers.
-func good() []byte {
+// validSource returns a settings text with two groups and three customers.
+func validSource() []byte {
 	return fmt.Appendf(nil, `; the fleet
 [fleet]
 max_body = 2MiB
@@ -43,15 +43,15 @@
 `, hashOf("k1"), hashOf("k2"), hashOf("k3"))
 }
 
-func build(t *testing.T, version uint64, source string) *Snapshot {
+func mustBuild(t *testing.T, version uint64, source string) *Snapshot {
 	t.Helper()
 	s, faults := Build(version, []byte(source))
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	return s
 }
 
-func TestBuildInherits(t *testing.T) {
-	s := build(t, 7, string(good()))
+func TestCustomersInheritValues(t *testing.T) {
+	s := mustBuild(t, 7, string(validSource()))
 	c, ok := s.ByKey(sha256.Sum256([]byte("k2")))
 	assert.Assert(t, ok)
 	assert.Equal(t, string(c.Path), "trasladar/claims-desk")
@@ -71,8 +71,8 @@
 	assert.Assert(t, !ok)
 }
 
-func TestEffectiveNamesTheBranch(t *testing.T) {
-	s := build(t, 1, string(good()))
+func TestEffectiveReportsSource(t *testing.T) {
+	s := mustBuild(t, 1, string(validSource()))
 	values, ok := s.Effective("trasladar/drivers")
 	assert.Assert(t, ok)
 	from := map[string]string{}
@@ -87,7 +87,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestDefaultsHaveTheirForm(t *testing.T) {
+func TestDefaultsAreValid(t *testing.T) {
 	var f Fleet
 	for _, k := range fleetKeys {
 		assert.Assert(t, k.set(&f, k.Default), k.Name)
@@ -105,27 +105,27 @@
 var faultTests = []struct{ name, source string }{
 	{"unclosed section", "[tree"},
 	{"unclosed quote", "[tree/a]\nkeys = \"\"\"s3cret"},
-	{"long values would take the square of their length", "; `a` in a comment\n[tree/a]\nkeys = `" + strings.Repeat("\n", MaxSource/2)},
+	{"long multi-line value would take quadratic time", "; `a` in a comment\n[tree/a]\nkeys = `" + strings.Repeat("\n", MaxSource/2)},
 	{"keys outside a section", "weight = 1"},
 	{"unknown section and key", "[flete]\n[fleet]\nmax_bodi = 1MiB\n[service a]\nwise = 1"},
-	{"a lone word", "[fleet]\nmax_body\nmax_header = 64KiB"},
+	{"line without a delimiter", "[fleet]\nmax_body\nmax_header = 64KiB"},
 	{"bad values", "[fleet]\nmax_body = -1\nmax_header = 9999GiB\nidle_timeout = soon\n" +
 		"[service a]\nonce = POST bookings\nchecks_fence = yes\nrefused_status = 200\n" +
 		"[tree]\nweight = NaN\nconcurrency = 1.5\nmodels = a,,b\nburst =\nretry_percent = 101\nfirst_token = 5"},
-	{"a key in place of its hash is not shown", "[tree]\n[tree/a]\nkeys = s3cret"},
+	{"key in place of its hash is not shown", "[tree]\n[tree/a]\nkeys = s3cret"},
 	{"hash of the empty key", "[tree/a]\nkeys = " + hashOf("")},
-	{"everything twice", "[fleet]\n[fleet]\n[tree]\nweight = 1\nweight = 1\n[tree/a]\nkeys = none\n[tree/a]\nkeys = none\n[service a]\n[service a]"},
-	{"key of two customers", "[tree/a]\nkeys = " + hashOf("k") + "\n[tree/b]\nkeys = " + hashOf("k")},
-	{"key twice at one customer", "[tree/a]\nkeys = " + hashOf("k") + "," + hashOf("k")},
-	{"too many keys", "[tree/a]\nkeys = " + manyHashes(MaxKeys+1)},
-	{"customer with a customer below", "[tree]\n[tree/a]\nkeys = none\n[tree/a/b]\nkeys = none"},
+	{"duplicates", "[fleet]\n[fleet]\n[tree]\nweight = 1\nweight = 1\n[tree/a]\nkeys = none\n[tree/a]\nkeys = none\n[service a]\n[service a]"},
+	{"same key for two customers", "[tree/a]\nkeys = " + hashOf("k") + "\n[tree/b]\nkeys = " + hashOf("k")},
+	{"same key twice for one customer", "[tree/a]\nkeys = " + hashOf("k") + "," + hashOf("k")},
+	{"too many keys", "[tree/a]\nkeys = " + manyHashes(MaxCustomerKeys+1)},
+	{"customer below a customer", "[tree]\n[tree/a]\nkeys = none\n[tree/a/b]\nkeys = none"},
 	{"keys at the root", "[tree]\nkeys = none"},
-	{"parent not written", "[tree/a/b]\nkeys = none"},
+	{"undefined parent", "[tree/a/b]\nkeys = none"},
 	{"group without customers", "[tree/a]\nweight = 2"},
 	{"bad names", "[tree/Quetzal]\nkeys = none\n[tree/]\nkeys = none\n[tree/a b]\nkeys = none\n[service a b]"},
-	{"service not written", "[tree/a]\nservices = booking\nkeys = none"},
-	{"too deep", deep(MaxDepth + 1)},
-	{"name too long", "[tree" + strings.Repeat("/", MaxName) + "]"},
+	{"undefined service", "[tree/a]\nservices = booking\nkeys = none"},
+	{"too deep", nestedCustomer(MaxDepth + 1)},
+	{"name too long", "[tree" + strings.Repeat("/", MaxSectionName) + "]"},
 	{"too large", strings.Repeat("#", MaxSource+1)},
 }
 
@@ -137,7 +137,7 @@
 	return strings.Join(all, ",")
 }
 
-func deep(n int) string {
+func nestedCustomer(n int) string {
 	var b strings.Builder
 	name := rootSection
 	for range n {
@@ -147,7 +147,8 @@
 	return b.String() + "keys = none\n"
 }
 
-// Every fault of a text is reported at once, with its section and key.
+// TestFaults checks that Build reports all faults of a text together, each with its
+// section and key.
 func TestFaults(t *testing.T) {
 	var b strings.Builder
 	for _, tt := range faultTests {
@@ -161,22 +162,22 @@
 	golden.Assert(t, b.String(), "faults.golden")
 }
 
-func TestRemovingALiveCustomerIsAFault(t *testing.T) {
-	prev := build(t, 1, "[tree/a]\nkeys = "+hashOf("k")+"\n[tree/b]\nkeys = none")
-	next := build(t, 2, "[tree]")
+func TestRemovingCustomerWithKeysIsFault(t *testing.T) {
+	prev := mustBuild(t, 1, "[tree/a]\nkeys = "+hashOf("k")+"\n[tree/b]\nkeys = none")
+	next := mustBuild(t, 2, "[tree]")
 	faults := CheckChange(prev, next)
 	assert.Equal(t, len(faults), 1)
 	assert.Equal(t, faults[0].Kind, FaultRemovedLive)
 	assert.Equal(t, faults[0].Section, "tree/a")
-	withdrawn := build(t, 2, "[tree/a]\nkeys = none")
+	withdrawn := mustBuild(t, 2, "[tree/a]\nkeys = none")
 	assert.Equal(t, len(CheckChange(prev, withdrawn)), 0)
 	assert.Equal(t, len(CheckChange(withdrawn, next)), 0)
 	assert.Equal(t, len(CheckChange(nil, next)), 0)
 }
 
 func TestDiff(t *testing.T) {
-	a := build(t, 1, "[fleet]\n[tree]\nweight = 1\nburst = 3\n[tree/a]\nkeys = none")
-	b := build(t, 2, "[tree/b]\nkeys = none\n; moved\n[tree]\nburst = 4\nrate = 1")
+	a := mustBuild(t, 1, "[fleet]\n[tree]\nweight = 1\nburst = 3\n[tree/a]\nkeys = none")
+	b := mustBuild(t, 2, "[tree/b]\nkeys = none\n; moved\n[tree]\nburst = 4\nrate = 1")
 	var got []string
 	for _, c := range Diff(a, b) {
 		got = append(got, c.String())
@@ -197,33 +198,34 @@
 	return Offer{version, sha256.Sum256([]byte(source)), []byte(source)}
 }
 
-func TestHolderNeverGoesBack(t *testing.T) {
+func TestHolderNeverAppliesOlderVersion(t *testing.T) {
 	var h Holder
-	steps := []struct {
+	offers := []struct {
 		offer Offer
 		want  Verdict
 	}{
 		{offer(0, "[tree]"), Older},
-		{offer(2, "[tree]"), Taken},
-		{offer(2, "[tree]"), Known},
-		{offer(2, "[fleet]"), Diverging},
+		{offer(2, "[tree]"), Applied},
+		{offer(2, "[tree]"), AlreadyApplied},
+		{offer(2, "[fleet]"), VersionConflict},
 		{offer(1, "[tree]"), Older},
-		{Offer{Version: 3, Source: []byte("[tree]")}, Mismatch},
-		{offer(3, "[nonsense]"), Faulty},
-		{offer(4, "[fleet]"), Taken},
+		{Offer{Version: 3, Source: []byte("[tree]")}, DigestMismatch},
+		{offer(3, "[nonsense]"), Invalid},
+		{offer(4, "[fleet]"), Applied},
 		{offer(3, "[tree]"), Older},
 	}
-	for i, s := range steps {
+	for i, s := range offers {
 		got, _ := h.Offer(s.offer)
 		assert.Equal(t, got, s.want, "step %d", i)
 	}
 	assert.Equal(t, h.Version(), uint64(4))
 }
 
-// FuzzBuild shows that no text breaks the parser, that an accepted one reads
-// the same again, and that what it accepts keeps the tree's rules.
+// FuzzBuild checks that no text causes a panic, that building the source of an
+// accepted text again gives the same settings, and that accepted settings satisfy
+// the rules of the tree.
 func FuzzBuild(f *testing.F) {
-	f.Add(good())
+	f.Add(validSource())
 	for _, tt := range faultTests {
 		f.Add([]byte(tt.source))
 	}
@@ -233,7 +235,7 @@
 		if a == nil {
 			return
 		}
-		b := build(t, 2, string(a.Source))
+		b := mustBuild(t, 2, string(a.Source))
 		assert.Equal(t, a.Digest, b.Digest)
 		assert.Equal(t, len(Diff(a, b)), 0)
 		for path, c := range a.Customers {
--- a/internal/core/settings/snapshot.go
+++ b/internal/core/settings/snapshot.go
@@ -1,7 +1,7 @@
-// Package settings holds the settings tree: its INI form, the checks, what
-// each customer inherits, the differences between two trees, and the rule by
-// which a router takes a newer version and never an older one. It has no
-// input or output.
+// Package settings implements the settings tree: parsing of its INI text,
+// validation, inheritance of values by customers, differences between two
+// versions, and the rule that a router applies only newer versions. The package
+// performs no I/O.
 package settings
 
 import (
@@ -12,62 +12,62 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// KeyHash is the SHA-256 of a customer's bearer key. Keys themselves are
-// never in the settings.
+// KeyHash is the SHA-256 hash of a caller's bearer key. The settings never
+// contain the keys themselves.
 type KeyHash [sha256.Size]byte
 
-// Objective is the service level a customer is promised.
+// Objective is the service-level objective of a customer.
 type Objective struct {
-	FirstToken    time.Duration // to the first token; 0: none promised
-	BetweenTokens time.Duration // mean gap between tokens of an answer; 0: none promised
-	Fraction      float64       // of requests that must meet each, such as 0.95
+	FirstToken    time.Duration // time to the first token; 0: no objective
+	BetweenTokens time.Duration // mean time between the tokens of an answer; 0: no objective
+	Fraction      float64       // fraction of requests that must meet each of the times, such as 0.95
 }
 
-// Customer is a leaf of the tree with every value it has or inherits.
+// Customer is a leaf of the tree with all its own and inherited values.
 type Customer struct {
 	Path         msg.CustomerID // such as "trasladar/claims-desk"
 	Weight       float64
-	Concurrency  int // requests running, per router; 0: no limit
-	QueueLen     int // requests waiting, per router
+	Concurrency  int // running requests per router; 0: no limit
+	QueueLen     int // waiting requests per router
 	QueueTime    time.Duration
-	RequestTime  time.Duration // the longest a request may take in all
-	Rate         float64       // requests a second per router; 0: no limit
+	RequestTime  time.Duration // maximum total time of a request
+	Rate         float64       // requests per second and router; 0: no limit
 	Burst        int
-	Models       []string // allowed; "*" allows all
-	Services     []string
-	RetryPercent float64 // retry allowance, percent of successes per pool
+	Models       []string // allowed models; Wildcard allows all
+	Services     []string // allowed plain services; Wildcard allows all
+	RetryPercent float64  // retries allowed per pool, as a percentage of successes
 	Objective    Objective
 	Keys         []KeyHash
 }
 
-// Service is a plain service as the settings describe it.
+// Service is a plain service as defined in the settings.
 type Service struct {
 	Name string
-	// Once lists calls that may not be repeated as "METHOD /path", the path
-	// with a trailing "*" for a prefix.
-	Once []string
-	// ChecksFence says that its servers refuse an old fencing number.
+	// AtMostOnce lists calls that must not be repeated, as "METHOD /path". A path
+	// that ends in "*" matches all paths with that prefix.
+	AtMostOnce []string
+	// ChecksFence is set if the servers refuse an old fencing number.
 	ChecksFence bool
-	// RefusedStatus lists the statuses by which its servers refuse a call
-	// before running it, such as 429 and 503.
+	// RefusedStatus lists the HTTP statuses with which the servers refuse a call
+	// without running it, such as 429 and 503.
 	RefusedStatus []int
 }
 
-// Fleet is what holds for every router.
+// Fleet holds the settings that apply to every router.
 type Fleet struct {
 	MaxBody       int64 // bytes of a request's body
 	MaxHeader     int   // bytes of a request's headers
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	DrainLimit    time.Duration // after it a shutdown may cut requests
-	QueueBytes    int64         // bytes of waiting requests, per router
-	QueueRequests int           // waiting requests, per router
-	ClaimLease    time.Duration // how long a claim's holder may take to send
-	ClaimKeep     time.Duration // how long a stored answer is kept
+	DrainLimit    time.Duration // time after which a shutdown may abort running requests
+	QueueBytes    int64         // bytes of waiting requests per router
+	QueueRequests int           // waiting requests per router
+	ClaimLease    time.Duration // time in which the holder of a claim must send its call
+	ClaimKeep     time.Duration // how long the claim and its stored answer are kept
 }
 
-// Snapshot is one accepted version of the settings. It is immutable and may be
-// read from any goroutine.
+// Snapshot is a validated version of the settings. It is immutable and safe for
+// concurrent use.
 type Snapshot struct {
 	Version   uint64
 	Digest    [sha256.Size]byte // of Source
@@ -79,21 +79,21 @@
 	tree      *tree
 }
 
-// ByKey returns the customer whose key hashes to h.
+// ByKey returns the customer with a key whose hash is h.
 func (s *Snapshot) ByKey(h KeyHash) (*Customer, bool) {
 	c, ok := s.byKey[h]
 	return c, ok
 }
 
-// All, in a list of models or services, allows every one.
-const All = "*"
+// Wildcard allows all models or services in a list of them.
+const Wildcard = "*"
 
-// AllowsModel says whether the customer may use the model.
+// AllowsModel reports whether the customer may use the model.
 func (c *Customer) AllowsModel(name string) bool { return allows(c.Models, name) }
 
-// AllowsService says whether the customer may use the plain service.
+// AllowsService reports whether the customer may use the plain service.
 func (c *Customer) AllowsService(name string) bool { return allows(c.Services, name) }
 
 func allows(list []string, name string) bool {
-	return slices.Contains(list, All) || slices.Contains(list, name)
+	return slices.Contains(list, Wildcard) || slices.Contains(list, name)
 }
--- a/internal/core/settings/tree.go
+++ b/internal/core/settings/tree.go
@@ -7,32 +7,32 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// tree is the customers' tree as written. A path names its parent, so no
-// cycle can be written.
+// tree is the tree of groups and customers. A section's path contains the path of
+// its parent, so cycles are impossible.
 type tree struct {
-	sections []*section          // in the order of the text
-	nodes    map[string]*section // by section name
-	children map[string]int      // by section name
+	sections   []*section          // in the order of the text
+	byName     map[string]*section // sections by name, always including the root
+	childCount map[string]int      // number of direct children by section name
 }
 
-// newTree makes the tree of the sections; the root need not be written.
+// newTree builds the tree from its sections. The root section is optional.
 func newTree(sections []*section) *tree {
-	t := &tree{nodes: map[string]*section{}, children: map[string]int{}}
+	t := &tree{byName: map[string]*section{}, childCount: map[string]int{}}
 	for _, s := range sections {
 		t.sections = append(t.sections, s)
-		t.nodes[s.name] = s
+		t.byName[s.name] = s
 		if s.name != rootSection {
-			t.children[parent(s.name)]++
+			t.childCount[parentName(s.name)]++
 		}
 	}
-	if t.nodes[rootSection] == nil {
-		t.nodes[rootSection] = &section{name: rootSection}
+	if t.byName[rootSection] == nil {
+		t.byName[rootSection] = &section{name: rootSection}
 	}
 	return t
 }
 
-// parent returns the name of the section above; "" is above the root.
-func parent(name string) string {
+// parentName returns the name of the parent section, or "" for the root.
+func parentName(name string) string {
 	i := strings.LastIndexByte(name, '/')
 	if i < 0 {
 		return ""
@@ -41,13 +41,14 @@
 }
 
 func (t *tree) isLeaf(name string) bool {
-	return name != rootSection && t.children[name] == 0
+	return name != rootSection && t.childCount[name] == 0
 }
 
-// lookup finds the value of a key at a section or the nearest above it.
+// lookup returns the value of a key from the section or its nearest ancestor that
+// sets it, with the name of that section.
 func (t *tree) lookup(name, key string) (value, from string, ok bool) {
-	for ; name != ""; name = parent(name) {
-		s := t.nodes[name]
+	for ; name != ""; name = parentName(name) {
+		s := t.byName[name]
 		if s == nil {
 			continue
 		}
@@ -62,38 +63,38 @@
 	return msg.CustomerID(strings.TrimPrefix(section, treePrefix))
 }
 
-// shape checks one section's place in the tree.
-func (t *tree) shape(s *section) []Fault {
+// checkPlacement checks the name and position of a section in the tree.
+func (t *tree) checkPlacement(s *section) []Fault {
 	if s.name == rootSection {
-		return t.keysOnGroup(s)
+		return t.checkGroupKeys(s)
 	}
 	var faults []Fault
 	add := func(kind FaultKind, detail string) {
 		faults = append(faults, Fault{Section: s.name, Kind: kind, Detail: detail})
 	}
-	parts := strings.Split(s.name, "/")[1:]
-	for _, p := range parts {
-		if !goodName(p) {
-			add(FaultBadName, fmt.Sprintf("%.40q: want lower-case letters, digits, - and _, beginning with a letter or digit", p))
+	names := strings.Split(s.name, "/")[1:]
+	for _, p := range names {
+		if !validPathName(p) {
+			add(FaultBadName, fmt.Sprintf("%.40q: want lower-case letters, digits, - and _, starting with a letter or digit", p))
 		}
 	}
-	if len(parts) > MaxDepth {
-		add(FaultTooLarge, fmt.Sprintf("%d deep, the limit is %d", len(parts), MaxDepth))
+	if len(names) > MaxDepth {
+		add(FaultTooLarge, fmt.Sprintf("the depth is %d, the limit is %d", len(names), MaxDepth))
 	}
-	if up := parent(s.name); t.nodes[up] == nil {
-		add(FaultMissingParent, fmt.Sprintf("[%s] is not written", up))
+	if parent := parentName(s.name); t.byName[parent] == nil {
+		add(FaultMissingParent, fmt.Sprintf("[%s] is not defined", parent))
 	}
 	_, hasKeys := s.values[keysKey]
 	if t.isLeaf(s.name) && !hasKeys {
-		add(FaultNoKeys, "a customer must list its keys, or none; a group must have customers")
+		add(FaultNoKeys, "a customer must set keys, or keys = none; a group must have customers")
 	}
-	return append(faults, t.keysOnGroup(s)...)
+	return append(faults, t.checkGroupKeys(s)...)
 }
 
-func (t *tree) keysOnGroup(s *section) []Fault {
+func (t *tree) checkGroupKeys(s *section) []Fault {
 	_, hasKeys := s.values[keysKey]
 	if t.isLeaf(s.name) || !hasKeys {
 		return nil
 	}
-	return []Fault{{s.name, keysKey, FaultParentIsCustomer, "only customers have keys, and a customer has no sections below it"}}
+	return []Fault{{s.name, keysKey, FaultParentIsCustomer, "only customers can have keys, and a customer cannot have sections below it"}}
 }
--- a/internal/core/settings/value.go
+++ b/internal/core/settings/value.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// form is how the value of a key is written: what is wanted, in words, and
-// its parser.
-type form[V any] struct {
+// valueFormat is the format of a key's value: a description for documentation and
+// faults, and its parser.
+type valueFormat[V any] struct {
 	want  string
 	parse func(string) (V, bool)
 }
 
-// None, in place of a list, is the empty list.
-const None = "none"
+// EmptyList is the value that denotes an empty list.
+const EmptyList = "none"
 
 const (
 	maxNameLen = 64
 	maxListLen = 256
 )
 
-func duration(lo, hi time.Duration) form[time.Duration] {
-	return form[time.Duration]{
+func duration(lo, hi time.Duration) valueFormat[time.Duration] {
+	return valueFormat[time.Duration]{
 		want: fmt.Sprintf("a duration from %s to %s, such as 500ms or 1m30s", lo, hi),
 		parse: func(s string) (time.Duration, bool) {
 			d, err := time.ParseDuration(s)
@@ -36,8 +36,8 @@
 	}
 }
 
-func integer(lo, hi int) form[int] {
-	return form[int]{
+func integer(lo, hi int) valueFormat[int] {
+	return valueFormat[int]{
 		want: fmt.Sprintf("a whole number from %d to %d", lo, hi),
 		parse: func(s string) (int, bool) {
 			n, err := strconv.Atoi(s)
@@ -46,8 +46,8 @@
 	}
 }
 
-func number(lo, hi float64) form[float64] {
-	return form[float64]{
+func number(lo, hi float64) valueFormat[float64] {
+	return valueFormat[float64]{
 		want: fmt.Sprintf("a number from %s to %s", formatNumber(lo), formatNumber(hi)),
 		parse: func(s string) (float64, bool) {
 			x, err := strconv.ParseFloat(s, 64)
@@ -67,8 +67,8 @@
 	{"GiB", 1 << 30},
 }
 
-func size[V int | int64](lo, hi V) form[V] {
-	return form[V]{
+func size[V int | int64](lo, hi V) valueFormat[V] {
+	return valueFormat[V]{
 		want: fmt.Sprintf("a number of bytes from %d to %d, such as 65536, 64KiB or 8MiB", lo, hi),
 		parse: func(s string) (V, bool) {
 			n, ok := parseSize(s)
@@ -77,8 +77,8 @@
 	}
 }
 
-// parseSize reads a whole number of bytes, with or without a unit; false also
-// if it does not fit 64 bits.
+// parseSize parses a whole number of bytes with an optional unit. It returns false
+// if the text is malformed or the number does not fit into 64 bits.
 func parseSize(s string) (int64, bool) {
 	unit := int64(1)
 	for _, u := range sizeUnits {
@@ -94,17 +94,18 @@
 	return n * unit, true
 }
 
-var boolean = form[bool]{
+var boolean = valueFormat[bool]{
 	want: "true or false",
 	parse: func(s string) (bool, bool) {
 		return s == "true", s == "true" || s == "false"
 	},
 }
 
-// list reads items between commas, each once, or None.
-func list[V comparable](want string, item func(string) (V, bool)) form[[]V] {
+// list returns the format of a comma-separated list without duplicates, or
+// EmptyList.
+func list[V comparable](want string, item func(string) (V, bool)) valueFormat[[]V] {
 	parse := func(s string) ([]V, bool) {
-		if s == None {
+		if s == EmptyList {
 			return nil, true
 		}
 		var out []V
@@ -117,15 +118,15 @@
 		}
 		return out, true
 	}
-	return form[[]V]{want: want, parse: parse}
+	return valueFormat[[]V]{want: want, parse: parse}
 }
 
 var names = list("names between commas, each once, * for all, or none",
-	func(s string) (string, bool) { return s, s == All || goodItem(s) })
+	func(s string) (string, bool) { return s, s == Wildcard || validItemName(s) })
 
-// goodItem accepts the names of models and services.
-func goodItem(s string) bool {
-	if s == "" || s == None || len(s) > maxNameLen {
+// validItemName reports whether s is a valid name of a model or service.
+func validItemName(s string) bool {
+	if s == "" || s == EmptyList || len(s) > maxNameLen {
 		return false
 	}
 	for i := range len(s) {
@@ -136,9 +137,9 @@
 	return true
 }
 
-// goodName accepts the names of groups and customers. They are lower case, so
-// that no two differ by case only.
-func goodName(s string) bool {
+// validPathName reports whether s is a valid name of a group or customer. Names are
+// lower case, so that no two differ only in case.
+func validPathName(s string) bool {
 	if s == "" || len(s) > maxNameLen || s[0] == '-' || s[0] == '_' {
 		return false
 	}
@@ -159,13 +160,13 @@
 
 var methods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"}
 
-var calls = list("calls between commas, each once, such as POST /bookings or POST /stock/*, or none",
+var callList = list("calls between commas, each once, such as POST /bookings or POST /stock/*, or none",
 	func(s string) (string, bool) {
 		method, path, _ := strings.Cut(s, " ")
-		stem, _ := strings.CutSuffix(path, "*")
+		prefix, _ := strings.CutSuffix(path, "*")
 		ok := slices.Contains(methods, method) &&
-			strings.HasPrefix(stem, "/") &&
-			!strings.ContainsAny(stem, "* \t?#%")
+			strings.HasPrefix(prefix, "/") &&
+			!strings.ContainsAny(prefix, "* \t?#%")
 		return s, ok
 	})
 
--- a/internal/proxy/mechanism_test.go
+++ b/internal/proxy/mechanism_test.go
@@ -99,7 +99,7 @@
 func TestListedCallIsNotRepeatedWhateverItsMethod(t *testing.T) {
 	bad, good := newService(), newService()
 	rig := newRig(t, bad, good)
-	rig.proxy.Snapshot().Services["dispatch"] = settings.Service{Name: "dispatch", Once: []string{"GET /jobs/*"}}
+	rig.proxy.Snapshot().Services["dispatch"] = settings.Service{Name: "dispatch", AtMostOnce: []string{"GET /jobs/*"}}
 	fault(t, bad, service.Fault{Mode: service.CutBefore})
 	got := send(t, "GET", rig.URL+jobURL, "", nil)
 	assert.Equal(t, got.problem(), "server-lost")
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -135,7 +135,7 @@
 	if !ok {
 		return
 	}
-	once := isOnce(known.Once, r.Method, decoded)
+	once := isOnce(known.AtMostOnce, r.Method, decoded)
 	key, ok := idempotencyKey(r.Header.Values(headerKey))
 	if once && !ok {
 		p.refuseEarly(w, c, problem.BadKey, "")
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -93,7 +93,7 @@
 		p.servers = append(p.servers, dispatch.Server{ID: msg.ServerID(fmt.Sprint("s", i)), Addr: srv.Listener.Addr().String()})
 	}
 	snapshot := &settings.Snapshot{Services: map[string]settings.Service{
-		"dispatch": {Name: "dispatch", Once: []string{"POST /bookings"}, RefusedStatus: []int{429, 503}},
+		"dispatch": {Name: "dispatch", AtMostOnce: []string{"POST /bookings"}, RefusedStatus: []int{429, 503}},
 	}}
 	client := backend.New()
 	t.Cleanup(client.Close)
--- a/internal/settingsstore/follower.go
+++ b/internal/settingsstore/follower.go
@@ -265,7 +265,7 @@
 func (f *Follower) isFaulty(r *Record) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.refused == refusal{r.Version, r.Digest, settings.Faulty}
+	return f.refused == refusal{r.Version, r.Digest, settings.Invalid}
 }
 
 // offer lets the holder decide. The lock keeps the holder, the published
@@ -275,9 +275,9 @@
 	defer f.mu.Unlock()
 	verdict, faults := f.holder.Offer(o)
 	switch verdict {
-	case settings.Taken:
+	case settings.Applied:
 		f.take(from, f.holder.Current())
-	case settings.Mismatch, settings.Diverging, settings.Faulty:
+	case settings.DigestMismatch, settings.VersionConflict, settings.Invalid:
 		f.refuse(from, o, verdict, faults)
 	case settings.Older:
 		f.stats.older.Add(1)
--- a/internal/settingsstore/follower_test.go
+++ b/internal/settingsstore/follower_test.go
@@ -99,7 +99,7 @@
 	f.poll(t.Context())
 	for range 3 {
 		verdict := f.OfferPeer(head.Version, head.Digest, source)
-		assert.Equal(t, verdict, settings.Faulty)
+		assert.Equal(t, verdict, settings.Invalid)
 	}
 	assert.Assert(t, f.isFaulty(&head))
 	assert.Equal(t, f.version(), uint64(1))
