--- a/cmd/windscale-burn/main_test.go
+++ b/cmd/windscale-burn/main_test.go
@@ -97,7 +97,7 @@
 	b, err := os.ReadFile(f.path("out"))
 	assert.NilError(t, err)
 	var report struct {
-		Windows []burn.WindowState `json:"windows"`
+		Windows []burn.WindowCoverage `json:"windows"`
 		Rows    []struct {
 			ID        string
 			Objective string
--- a/cmd/windscale-burn/report.go
+++ b/cmd/windscale-burn/report.go
@@ -73,7 +73,7 @@
 	scraper  *burn.Scraper
 	store    *settingsstore.Store // nil: the settings are a file's
 	history  *coreburn.History
-	promises map[msg.CustomerID]coreburn.Promise
+	promises map[msg.CustomerID]coreburn.SLO
 }
 
 func newReporter(ctx context.Context, opts options, log *slog.Logger) (*reporter, error) {
@@ -155,7 +155,7 @@
 	switch {
 	case r.opts.Readings > 0:
 		return r.opts.Readings
-	case len(r.history.Saved().Points) > 0:
+	case len(r.history.State().Checkpoints) > 0:
 		return 1
 	default:
 		return 2
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -102,19 +102,19 @@
 }
 
 // history returns three rounds of one customer whose requests are refused.
-func history(t *testing.T) (*burn.History, map[msg.CustomerID]burn.Promise) {
+func history(t *testing.T) (*burn.History, map[msg.CustomerID]burn.SLO) {
 	h := burn.New()
 	for i := range uint64(3) {
 		s := burn.Sample{Router: "r1", Incarnation: 1, Uptime: time.Hour, Customers: map[msg.CustomerID]burn.Totals{
 			"g/<a>": {burn.Refused: {Total: 100 * i, Bad: 10 * i}},
 		}}
-		assert.NilError(t, h.Add(burn.Round{
+		assert.NilError(t, h.Add(burn.Scrape{
 			At:      epoch.Add(time.Duration(i) * time.Minute),
 			Samples: []burn.Sample{s},
 			Missing: []msg.RouterID{"r2"},
 		}))
 	}
-	return h, map[msg.CustomerID]burn.Promise{"g/<a>": {Fraction: 0.95, FirstToken: true}, "b": {}}
+	return h, map[msg.CustomerID]burn.SLO{"g/<a>": {Fraction: 0.95, FirstToken: true}, "b": {}}
 }
 
 func TestSamplesFile(t *testing.T) {
@@ -122,7 +122,7 @@
 	file := filepath.Join(t.TempDir(), "samples")
 	empty, err := Load(file)
 	assert.NilError(t, err)
-	assert.Equal(t, len(empty.Saved().Points), 0)
+	assert.Equal(t, len(empty.State().Checkpoints), 0)
 	assert.NilError(t, Save(file, h))
 	again, err := Load(file)
 	assert.NilError(t, err)
--- a/internal/burn/html.go
+++ b/internal/burn/html.go
@@ -55,7 +55,7 @@
 
 // HTML writes the report as one self-contained page: no script, no style and
 // no picture from elsewhere.
-func HTML(w io.Writer, h *burn.History, promises map[msg.CustomerID]burn.Promise) error {
+func HTML(w io.Writer, h *burn.History, promises map[msg.CustomerID]burn.SLO) error {
 	p := htmlPage{Report: h.Report(promises)}
 	for _, o := range burn.Objectives() {
 		svg, err := picture(h, o, worst(p.Report, o), promises)
@@ -88,7 +88,7 @@
 }
 
 // picture plots the customers' burn over time, "" if there is nothing to plot.
-func picture(h *burn.History, o burn.Objective, ids []msg.CustomerID, promises map[msg.CustomerID]burn.Promise) (template.HTML, error) {
+func picture(h *burn.History, o burn.Objective, ids []msg.CustomerID, promises map[msg.CustomerID]burn.SLO) (template.HTML, error) {
 	var lines []any
 	for _, id := range ids {
 		points := xys(h.Series(id, o, promises[id], plotWindow))
@@ -111,7 +111,7 @@
 	return svg(p)
 }
 
-func xys(values []burn.Value) plotter.XYs {
+func xys(values []burn.RatePoint) plotter.XYs {
 	out := make(plotter.XYs, 0, len(values))
 	for _, v := range values {
 		out = append(out, plotter.XY{X: float64(v.At.UnixMilli()) / 1000, Y: v.Rate})
--- a/internal/burn/samples.go
+++ b/internal/burn/samples.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	var s burn.Saved
+	var s burn.HistoryState
 	if err := decoder.Unmarshal(b, &s); err != nil {
 		return nil, errors.Annotatef(err, "samples file %s", file)
 	}
@@ -33,7 +33,7 @@
 
 // Save writes the history to file, whole or not at all.
 func Save(file string, h *burn.History) error {
-	b, err := encoder.Marshal(h.Saved())
+	b, err := encoder.Marshal(h.State())
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/internal/burn/scrape.go
+++ b/internal/burn/scrape.go
@@ -65,7 +65,7 @@
 
 // Scrape reads all targets and returns the round of now. Routers that cannot
 // be read are in the round's Missing and in the failures.
-func (s *Scraper) Scrape(ctx context.Context, targets []Target, now time.Time) (burn.Round, []Failure) {
+func (s *Scraper) Scrape(ctx context.Context, targets []Target, now time.Time) (burn.Scrape, []Failure) {
 	samples := make([]burn.Sample, len(targets))
 	errs := make([]error, len(targets))
 	var g errgroup.Group
@@ -82,11 +82,11 @@
 
 // round puts the samples together. A router that was not read is named as
 // when it was read last, else by its URL.
-func (s *Scraper) round(targets []Target, samples []burn.Sample, errs []error, now time.Time) (burn.Round, []Failure) {
+func (s *Scraper) round(targets []Target, samples []burn.Sample, errs []error, now time.Time) (burn.Scrape, []Failure) {
 	if s.names == nil {
 		s.names = map[string]msg.RouterID{}
 	}
-	round := burn.Round{At: now}
+	round := burn.Scrape{At: now}
 	var failures []Failure
 	for i, t := range targets {
 		if errs[i] == nil {
--- a/internal/burn/sources.go
+++ b/internal/burn/sources.go
@@ -30,10 +30,10 @@
 }
 
 // Promises returns what s promises each customer.
-func Promises(s *settings.Snapshot) map[msg.CustomerID]burn.Promise {
-	out := make(map[msg.CustomerID]burn.Promise, len(s.Customers))
+func Promises(s *settings.Snapshot) map[msg.CustomerID]burn.SLO {
+	out := make(map[msg.CustomerID]burn.SLO, len(s.Customers))
 	for id, c := range s.Customers {
-		out[id] = burn.Promise{
+		out[id] = burn.SLO{
 			FirstToken:    c.Objective.FirstToken > 0,
 			BetweenTokens: c.Objective.BetweenTokens > 0,
 			Fraction:      c.Objective.Fraction,
--- a/internal/burn/table.go
+++ b/internal/burn/table.go
@@ -55,14 +55,14 @@
 	return nil
 }
 
-func heading(s burn.WindowState) string {
+func heading(s burn.WindowCoverage) string {
 	if s.Partial {
 		return length(s.Length) + "*"
 	}
 	return length(s.Length)
 }
 
-func coverage(s burn.WindowState) string {
+func coverage(s burn.WindowCoverage) string {
 	text := fmt.Sprintf("%.1f%% of the routers' time was read", 100*s.Read)
 	if s.Short {
 		text = fmt.Sprintf("readings reach back %s only; ", s.Span.Round(time.Second)) + text
@@ -70,7 +70,7 @@
 	return text
 }
 
-func gap(g burn.RouterReading) string {
+func gap(g burn.RouterGaps) string {
 	text := fmt.Sprintf("router %s: %d readings failed, %d restarts, %s never read",
 		g.Router, g.Missed, g.Restarts, g.Lost.Round(time.Second))
 	if g.MissingNow {
@@ -81,7 +81,7 @@
 
 func rowName(r burn.Row) string {
 	switch {
-	case r.Group && r.ID == burn.Fleet:
+	case r.Group && r.ID == burn.FleetGroup:
 		return "(all customers)"
 	case r.Group:
 		return string(r.ID) + "/ (group)"
@@ -100,7 +100,7 @@
 // alarm names the pairs of windows that raise an alarm.
 func alarm(r burn.Row) string {
 	text := ""
-	for i, p := range burn.Pairs() {
+	for i, p := range burn.WindowPairs() {
 		if !r.Alarms[i] {
 			continue
 		}
--- a/internal/core/burn/burn_test.go
+++ b/internal/core/burn/burn_test.go
@@ -13,56 +13,57 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// router is a router as the test drives it.
+// router is a simulated router.
 type router struct {
 	incarnation uint64
 	started     time.Time
 	counts      map[msg.CustomerID]Totals
-	down        bool // cannot be read
+	down        bool // cannot be scraped
 }
 
-// slow keeps every round and computes each number by going through all of
-// them again.
-type slow struct{ rounds []Round }
+// referenceHistory is a simple reference implementation that keeps all scrapes and
+// computes each number from all of them.
+type referenceHistory struct{ scrapes []Scrape }
 
-// sum adds, over all routers, what each counter grew by in rounds after from.
-func (s slow) sum(from time.Time, id msg.CustomerID, o Objective) (c Counts) {
-	for i, r := range s.rounds {
+// sum returns the increase of the counters of all routers in scrapes after from.
+func (ref referenceHistory) sum(from time.Time, id msg.CustomerID, o Objective) (c Counts) {
+	for i, r := range ref.scrapes {
 		if !r.At.After(from) {
 			continue
 		}
 		for _, now := range r.Samples {
-			c = c.plus(s.growth(i, now, id, o))
+			c = c.plus(ref.increase(i, now, id, o))
 		}
 	}
 	return c
 }
 
-// growth is what the counter grew by since the router's sample before round i.
-func (s slow) growth(i int, now Sample, id msg.CustomerID, o Objective) Counts {
+// increase returns the increase of the counter since the router's last sample
+// before scrape i.
+func (ref referenceHistory) increase(i int, now Sample, id msg.CustomerID, o Objective) Counts {
 	count := now.Customers[id][o]
 	for j := i - 1; j >= 0; j-- {
-		for _, was := range s.rounds[j].Samples {
-			if was.Router != now.Router {
+		for _, previous := range ref.scrapes[j].Samples {
+			if previous.Router != now.Router {
 				continue
 			}
-			old := was.Customers[id][o]
-			if was.Incarnation != now.Incarnation || count.below(old) {
+			old := previous.Customers[id][o]
+			if previous.Incarnation != now.Incarnation || count.decreasedFrom(old) {
 				return count
 			}
 			return Counts{Total: count.Total - old.Total, Bad: count.Bad - old.Bad}
 		}
 	}
-	if s.rounds[i].At.Add(-now.Uptime).Before(s.rounds[0].At) {
+	if ref.scrapes[i].At.Add(-now.Uptime).Before(ref.scrapes[0].At) {
 		return Counts{}
 	}
 	return count
 }
 
-// restarts counts the router's restarts that rounds after from show.
-func (s slow) restarts(from time.Time, id msg.RouterID) (n uint64) {
+// restarts returns the number of the router's restarts in scrapes after from.
+func (ref referenceHistory) restarts(from time.Time, id msg.RouterID) (n uint64) {
 	var last *Sample
-	for _, r := range s.rounds {
+	for _, r := range ref.scrapes {
 		for _, now := range r.Samples {
 			if now.Router != id {
 				continue
@@ -78,10 +79,10 @@
 
 var customers = []msg.CustomerID{"a", "g/b", "g/h/c"}
 
-func promisesFor(t *rapid.T) map[msg.CustomerID]Promise {
-	p := map[msg.CustomerID]Promise{}
+func drawSLOs(t *rapid.T) map[msg.CustomerID]SLO {
+	p := map[msg.CustomerID]SLO{}
 	for _, id := range customers {
-		p[id] = Promise{
+		p[id] = SLO{
 			FirstToken: true,
 			Fraction:   rapid.SampledFrom([]float64{0, 0.5, 0.9, 0.95}).Draw(t, "fraction"),
 		}
@@ -89,7 +90,7 @@
 	return p
 }
 
-// serve lets the router count some outcomes.
+// serve adds random outcomes to the router's counters.
 func (r *router) serve(t *rapid.T) {
 	for _, id := range customers {
 		c := r.counts[id]
@@ -116,22 +117,23 @@
 	return s
 }
 
-// TestAgainstSlowComputation drives routers that serve, restart and cannot be
-// read, and compares every number of the report with the slow computation.
-func TestAgainstSlowComputation(t *testing.T) {
+// TestMatchesReferenceComputation simulates routers that serve, restart and at times
+// cannot be scraped, and compares every number of the report with the reference
+// implementation.
+func TestMatchesReferenceComputation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, oracle, now := New(), slow{}, epoch
+		h, ref, now := New(), referenceHistory{}, epoch
 		routers := map[msg.RouterID]*router{}
 		for i := range 3 {
 			r := &router{}
 			r.restart(epoch.Add(-time.Hour))
 			routers[msg.RouterID(fmt.Sprint("r", i))] = r
 		}
-		promises := promisesFor(t)
+		slos := drawSLOs(t)
 		for range rapid.IntRange(1, 40).Draw(t, "rounds") {
 			step := rapid.SampledFrom([]time.Duration{15 * time.Second, 4 * time.Minute, time.Hour, 9 * time.Hour}).Draw(t, "step")
 			now = now.Add(step)
-			round := Round{At: now}
+			scrape := Scrape{At: now}
 			for _, id := range []msg.RouterID{"r0", "r1", "r2"} {
 				r := routers[id]
 				switch rapid.IntRange(0, 5).Draw(t, "fate") {
@@ -142,22 +144,22 @@
 				}
 				r.serve(t)
 				if r.down {
-					round.Missing = append(round.Missing, id)
+					scrape.Missing = append(scrape.Missing, id)
 					continue
 				}
-				round.Samples = append(round.Samples, r.sample(id, now))
+				scrape.Samples = append(scrape.Samples, r.sample(id, now))
 			}
-			assert.NilError(t, h.Add(round))
-			oracle.rounds = append(oracle.rounds, round)
-			compare(t, h, oracle, promises)
+			assert.NilError(t, h.Add(scrape))
+			ref.scrapes = append(ref.scrapes, scrape)
+			checkReport(t, h, ref, slos)
 		}
 	})
 }
 
-// compare checks the report of now against the oracle.
-func compare(t *rapid.T, h *History, oracle slow, promises map[msg.CustomerID]Promise) {
-	report := h.Report(promises)
-	last := oracle.rounds[len(oracle.rounds)-1]
+// checkReport compares the current report with the reference implementation.
+func checkReport(t *rapid.T, h *History, ref referenceHistory, slos map[msg.CustomerID]SLO) {
+	report := h.Report(slos)
+	last := ref.scrapes[len(ref.scrapes)-1]
 	assert.Equal(t, report.At, last.At)
 	for _, w := range report.Windows {
 		want := last.At.Add(-w.Length)
@@ -166,7 +168,7 @@
 			assert.Assert(t, !w.From.After(want))
 		}
 		for _, r := range w.Routers {
-			assert.Equal(t, r.Restarts, oracle.restarts(w.From, r.Router))
+			assert.Equal(t, r.Restarts, ref.restarts(w.From, r.Router))
 		}
 		for _, id := range last.Missing {
 			assert.Assert(t, w.Partial, "%s is missing", id)
@@ -174,41 +176,41 @@
 	}
 	for _, row := range report.Rows {
 		for i, b := range row.Burns {
-			checkBurn(t, row, b, report.Windows[i], oracle, promises)
+			checkBurn(t, row, b, report.Windows[i], ref, slos)
 		}
 	}
 }
 
-func checkBurn(t *rapid.T, row Row, b Burn, w WindowState, oracle slow, promises map[msg.CustomerID]Promise) {
+func checkBurn(t *rapid.T, row Row, b Burn, w WindowCoverage, ref referenceHistory, slos map[msg.CustomerID]SLO) {
 	var counts Counts
 	var allowed float64
-	promised := false
+	hasSLO := false
 	for _, id := range customers {
-		p := promises[id]
-		in := id == row.ID && !row.Group
+		p := slos[id]
+		included := id == row.ID && !row.Group
 		for _, g := range Groups(id) {
-			in = in || row.Group && g == row.ID
+			included = included || row.Group && g == row.ID
 		}
-		if !in || row.Group && p.Fraction == 0 {
+		if !included || row.Group && p.Fraction == 0 {
 			continue
 		}
-		if row.Objective == BetweenTokens { // not promised to anyone
+		if row.Objective == BetweenTokens { // no customer has this objective
 			if !row.Group {
-				counts = counts.plus(oracle.sum(w.From, id, row.Objective))
+				counts = counts.plus(ref.sum(w.From, id, row.Objective))
 			}
 			continue
 		}
-		promised = promised || p.Fraction > 0
-		c := oracle.sum(w.From, id, row.Objective)
+		hasSLO = hasSLO || p.Fraction > 0
+		c := ref.sum(w.From, id, row.Objective)
 		counts = counts.plus(c)
 		allowed += float64(c.Total) * (1 - p.Fraction)
 	}
 	assert.Equal(t, b.Counts, counts, "%v %v", row, w)
 	switch {
-	case !promised:
+	case !hasSLO:
 		assert.Equal(t, b.State, NoObjective)
 	case counts.Total == 0:
-		assert.Assert(t, b.State == NoRequests && !w.gaps() || b.State == NoData, "%v", b)
+		assert.Assert(t, b.State == NoRequests && !w.hasGaps() || b.State == NoData, "%v", b)
 	default:
 		assert.Equal(t, b.State, Measured)
 		assert.Assert(t, abs(b.Rate-float64(counts.Bad)/allowed) < 1e-9)
@@ -217,34 +219,35 @@
 
 func abs(x float64) float64 { return max(x, -x) }
 
-// TestThinning checks that windows after days of rounds start close to where
-// they should, and that few points are kept.
-func TestThinning(t *testing.T) {
+// TestOldCheckpointsAreThinned checks that after days of scrapes the windows still
+// start close to their nominal start, and that few checkpoints are kept.
+func TestOldCheckpointsAreThinned(t *testing.T) {
 	h, now := New(), epoch
 	r := &router{}
 	r.restart(epoch)
 	for i := range 5 * 24 * 60 {
 		now = now.Add(time.Minute)
 		r.counts["a"] = Totals{Refused: {Total: uint64(i)}}
-		assert.NilError(t, h.Add(Round{At: now, Samples: []Sample{r.sample("r", now)}}))
+		assert.NilError(t, h.Add(Scrape{At: now, Samples: []Sample{r.sample("r", now)}}))
 	}
-	assert.Assert(t, len(h.Saved().Points) < 400, "%d", len(h.Saved().Points))
+	assert.Assert(t, len(h.State().Checkpoints) < 400, "%d", len(h.State().Checkpoints))
 	for _, w := range h.Report(nil).Windows {
 		assert.Assert(t, !w.Partial && !w.Short)
-		assert.Assert(t, w.Span >= w.Length && w.Span <= w.Length+farGap+middleGap, "%v", w)
+		assert.Assert(t, w.Span >= w.Length && w.Span <= w.Length+oldSpacing+mediumSpacing, "%v", w)
 		if w.Length <= time.Hour {
 			assert.Equal(t, w.Span, w.Length)
 		}
 	}
 }
 
-// TestMissingIsNeverZero checks the states where routers cannot be read.
-func TestMissingIsNeverZero(t *testing.T) {
+// TestUnreadRoutersAreNotCountedAsZero checks the states reported when routers
+// cannot be scraped.
+func TestUnreadRoutersAreNotCountedAsZero(t *testing.T) {
 	h := New()
-	p := map[msg.CustomerID]Promise{"a": {Fraction: 0.9}}
+	p := map[msg.CustomerID]SLO{"a": {Fraction: 0.9}}
 	assert.Equal(t, len(h.Report(p).Rows), 0)
-	assert.NilError(t, h.Add(Round{At: epoch, Missing: []msg.RouterID{"r"}}))
-	assert.NilError(t, h.Add(Round{At: epoch.Add(time.Minute), Missing: []msg.RouterID{"r"}}))
+	assert.NilError(t, h.Add(Scrape{At: epoch, Missing: []msg.RouterID{"r"}}))
+	assert.NilError(t, h.Add(Scrape{At: epoch.Add(time.Minute), Missing: []msg.RouterID{"r"}}))
 	report := h.Report(p)
 	assert.Equal(t, len(report.Rows), 4) // "a" and the fleet, refused and failed
 	for _, row := range report.Rows {
@@ -253,22 +256,22 @@
 	assert.Assert(t, report.Windows[0].Partial)
 	assert.Assert(t, report.Windows[0].Routers[0].MissingNow)
 
-	var late *OutOfOrderError
-	err := h.Add(Round{At: epoch})
-	late, _ = err.(*OutOfOrderError)
-	assert.Assert(t, late != nil)
+	var outOfOrder *OutOfOrderError
+	err := h.Add(Scrape{At: epoch})
+	outOfOrder, _ = err.(*OutOfOrderError)
+	assert.Assert(t, outOfOrder != nil)
 }
 
-// TestCounterThatGoesDownIsARestart checks a counter that falls within one
-// incarnation.
-func TestCounterThatGoesDownIsARestart(t *testing.T) {
+// TestDecreasingCounterIsRestart checks that a counter that decreases within one
+// incarnation is counted as restarted from 0.
+func TestDecreasingCounterIsRestart(t *testing.T) {
 	h := New()
 	for i, n := range []uint64{100, 110, 4} {
 		at := epoch.Add(time.Duration(i) * time.Minute)
 		s := Sample{Router: "r", Incarnation: 1, Uptime: time.Hour, Customers: map[msg.CustomerID]Totals{"a": {Failed: {Total: n}}}}
-		assert.NilError(t, h.Add(Round{At: at, Samples: []Sample{s}}))
+		assert.NilError(t, h.Add(Scrape{At: at, Samples: []Sample{s}}))
 	}
-	report := h.Report(map[msg.CustomerID]Promise{"a": {Fraction: 0.9}})
+	report := h.Report(map[msg.CustomerID]SLO{"a": {Fraction: 0.9}})
 	for _, row := range report.Rows {
 		if row.Objective == Failed {
 			assert.Equal(t, row.Burns[0].Counts.Total, uint64(14))
@@ -277,39 +280,39 @@
 	assert.Equal(t, report.Windows[0].Routers[0].Restarts, uint64(1))
 }
 
-// TestRouterForgotten checks that a router which is away for longer than any
-// window, and returns, is counted afresh.
-func TestRouterForgotten(t *testing.T) {
+// TestAbsentRouterIsDropped checks that a router that is absent for longer than any
+// window is dropped, and treated as a new router when it returns.
+func TestAbsentRouterIsDropped(t *testing.T) {
 	h := New()
 	add := func(d time.Duration, ids ...msg.RouterID) {
-		round := Round{At: epoch.Add(d)}
+		scrape := Scrape{At: epoch.Add(d)}
 		for _, id := range ids {
-			round.Samples = append(round.Samples, Sample{Router: id, Incarnation: 1, Uptime: 1000 * time.Hour})
+			scrape.Samples = append(scrape.Samples, Sample{Router: id, Incarnation: 1, Uptime: 1000 * time.Hour})
 		}
-		assert.NilError(t, h.Add(round))
+		assert.NilError(t, h.Add(scrape))
 	}
 	add(0, "stays", "leaves")
 	add(time.Minute, "stays", "leaves")
 	for i := range 90 {
 		add(time.Duration(i+1)*time.Hour, "stays")
 	}
-	_, kept := h.Saved().Routers["leaves"]
-	assert.Assert(t, !kept)
+	_, found := h.State().Routers["leaves"]
+	assert.Assert(t, !found)
 	add(91*time.Hour, "stays", "leaves")
 	w := h.Report(nil).Windows[0]
 	assert.Equal(t, w.Routers[0].Router, msg.RouterID("leaves"))
 	assert.Assert(t, w.Routers[0].Lost > 0 && w.Routers[0].Lost < 1000*time.Hour)
 }
 
-// TestRouterThatLeaves checks that the end of a router's life, which nothing
-// read, is shown as lost.
-func TestRouterThatLeaves(t *testing.T) {
+// TestDepartedRouterHasLostTime checks that the time between a router's last sample
+// and the first scrape without it is reported as lost.
+func TestDepartedRouterHasLostTime(t *testing.T) {
 	h := New()
-	both := []Sample{{Router: "a", Incarnation: 1, Uptime: time.Hour}, {Router: "b", Incarnation: 1, Uptime: time.Hour}}
-	assert.NilError(t, h.Add(Round{At: epoch, Samples: both}))
-	assert.NilError(t, h.Add(Round{At: epoch.Add(30 * time.Second), Samples: both}))
-	assert.NilError(t, h.Add(Round{At: epoch.Add(60 * time.Second), Samples: both[:1]}))
-	assert.NilError(t, h.Add(Round{At: epoch.Add(90 * time.Second), Samples: both[:1]}))
+	samples := []Sample{{Router: "a", Incarnation: 1, Uptime: time.Hour}, {Router: "b", Incarnation: 1, Uptime: time.Hour}}
+	assert.NilError(t, h.Add(Scrape{At: epoch, Samples: samples}))
+	assert.NilError(t, h.Add(Scrape{At: epoch.Add(30 * time.Second), Samples: samples}))
+	assert.NilError(t, h.Add(Scrape{At: epoch.Add(60 * time.Second), Samples: samples[:1]}))
+	assert.NilError(t, h.Add(Scrape{At: epoch.Add(90 * time.Second), Samples: samples[:1]}))
 	w := h.Report(nil).Windows[0]
 	assert.Equal(t, len(w.Routers), 1)
 	assert.Equal(t, w.Routers[0].Lost, 30*time.Second)
--- a/internal/core/burn/history.go
+++ b/internal/core/burn/history.go
@@ -7,41 +7,41 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// History folds rounds into one growing total per customer, of which it keeps
-// the values at past moments: closely spaced for the last hour, further apart
-// before. It is not safe for use by several goroutines at once.
+// History accumulates scrapes into cumulative totals per customer and keeps
+// checkpoints of them. Checkpoints older than about an hour are thinned out. A
+// History is not safe for concurrent use.
 type History struct {
-	s Saved
+	state HistoryState
 }
 
-// Saved is all that a History holds, for keeping it between runs.
-type Saved struct {
-	Last    map[msg.RouterID]*LastSeen `cbor:"1,keyasint"`
-	Totals  map[msg.CustomerID]Totals  `cbor:"2,keyasint"`
-	Routers map[msg.RouterID]Reading   `cbor:"3,keyasint"`
-	Points  []Point                    `cbor:"4,keyasint"` // oldest first
-	Begin   time.Time                  `cbor:"5,keyasint"` // of the first round of all
+// HistoryState is the persistent state of a History.
+type HistoryState struct {
+	Last        map[msg.RouterID]*LastSeen      `cbor:"1,keyasint"`
+	Totals      map[msg.CustomerID]Totals       `cbor:"2,keyasint"`
+	Routers     map[msg.RouterID]RouterCoverage `cbor:"3,keyasint"`
+	Checkpoints []Checkpoint                    `cbor:"4,keyasint"` // oldest first
+	Start       time.Time                       `cbor:"5,keyasint"` // time of the first scrape
 }
 
 // LastSeen is a router's latest sample.
 type LastSeen struct {
 	Sample Sample    `cbor:"1,keyasint"`
 	At     time.Time `cbor:"2,keyasint"`
-	Gone   bool      `cbor:"3,keyasint"` // no later round named it
+	Gone   bool      `cbor:"3,keyasint"` // not named by a later scrape
 }
 
-// Reading counts what became of the readings of one router.
-type Reading struct {
-	Seen     uint64        `cbor:"1,keyasint"`
-	Missed   uint64        `cbor:"2,keyasint"`
-	Restarts uint64        `cbor:"3,keyasint"` // new incarnations, and counters that went down
-	Lost     time.Duration `cbor:"4,keyasint"` // served, and never read
-	Read     time.Duration `cbor:"5,keyasint"` // served, and read
-	Latest   time.Time     `cbor:"6,keyasint"` // round that named the router
+// RouterCoverage holds cumulative counts of how well one router was scraped.
+type RouterCoverage struct {
+	Seen     uint64        `cbor:"1,keyasint"` // successful scrapes
+	Missed   uint64        `cbor:"2,keyasint"` // failed scrapes
+	Restarts uint64        `cbor:"3,keyasint"` // new incarnations and decreased counters
+	Lost     time.Duration `cbor:"4,keyasint"` // uptime whose outcomes were never scraped
+	Read     time.Duration `cbor:"5,keyasint"` // uptime whose outcomes were scraped
+	Latest   time.Time     `cbor:"6,keyasint"` // latest scrape that named the router
 }
 
-func (r Reading) minus(o Reading) Reading {
-	return Reading{
+func (r RouterCoverage) minus(o RouterCoverage) RouterCoverage {
+	return RouterCoverage{
 		Seen:     r.Seen - o.Seen,
 		Missed:   r.Missed - o.Missed,
 		Restarts: r.Restarts - o.Restarts,
@@ -50,21 +50,22 @@
 	}
 }
 
-// Point is the totals as they stood after one round.
-type Point struct {
-	At      time.Time                 `cbor:"1,keyasint"`
-	Totals  map[msg.CustomerID]Totals `cbor:"2,keyasint"`
-	Routers map[msg.RouterID]Reading  `cbor:"3,keyasint"`
-	Missing []msg.RouterID            `cbor:"4,keyasint"`
+// Checkpoint holds the totals after a scrape.
+type Checkpoint struct {
+	At      time.Time                       `cbor:"1,keyasint"`
+	Totals  map[msg.CustomerID]Totals       `cbor:"2,keyasint"`
+	Routers map[msg.RouterID]RouterCoverage `cbor:"3,keyasint"`
+	Missing []msg.RouterID                  `cbor:"4,keyasint"`
 }
 
 // New returns an empty history.
 func New() *History {
-	return Restore(Saved{})
+	return Restore(HistoryState{})
 }
 
-// Restore returns a history that goes on from s, which it takes over.
-func Restore(s Saved) *History {
+// Restore returns a history that continues from s. The caller must not use s
+// afterwards.
+func Restore(s HistoryState) *History {
 	if s.Last == nil {
 		s.Last = map[msg.RouterID]*LastSeen{}
 	}
@@ -72,51 +73,51 @@
 		s.Totals = map[msg.CustomerID]Totals{}
 	}
 	if s.Routers == nil {
-		s.Routers = map[msg.RouterID]Reading{}
+		s.Routers = map[msg.RouterID]RouterCoverage{}
 	}
-	return &History{s: s}
+	return &History{state: s}
 }
 
-// Saved returns what the history holds. It shares memory with the history
-// until the next Add.
-func (h *History) Saved() Saved { return h.s }
+// State returns the state of the history. The result shares memory with the
+// history and is valid until the next call of Add.
+func (h *History) State() HistoryState { return h.state }
 
-// OutOfOrderError says that a round is not later than the one before it.
+// OutOfOrderError is returned for a scrape that is not later than the previous one.
 type OutOfOrderError struct{ At, Last time.Time }
 
 // Error implements error.
 func (e *OutOfOrderError) Error() string {
-	return "round of " + e.At.String() + " is not after the one of " + e.Last.String()
+	return "scrape at " + e.At.String() + " is not later than the previous one at " + e.Last.String()
 }
 
-// Add takes the next round.
-func (h *History) Add(r Round) error {
-	if n := len(h.s.Points); n > 0 && !r.At.After(h.s.Points[n-1].At) {
-		return &OutOfOrderError{At: r.At, Last: h.s.Points[n-1].At}
+// Add adds the next scrape.
+func (h *History) Add(scrape Scrape) error {
+	if n := len(h.state.Checkpoints); n > 0 && !scrape.At.After(h.state.Checkpoints[n-1].At) {
+		return &OutOfOrderError{At: scrape.At, Last: h.state.Checkpoints[n-1].At}
 	}
-	if len(h.s.Points) == 0 {
-		h.s.Begin = r.At
+	if len(h.state.Checkpoints) == 0 {
+		h.state.Start = scrape.At
 	}
-	for _, s := range r.Samples {
-		h.addSample(s, r.At)
+	for _, s := range scrape.Samples {
+		h.addSample(s, scrape.At)
 	}
-	for _, id := range r.Missing {
-		h.count(id, Reading{Missed: 1, Latest: r.At})
+	for _, id := range scrape.Missing {
+		h.addCoverage(id, RouterCoverage{Missed: 1, Latest: scrape.At})
 	}
-	h.leave(r.At)
-	h.s.Points = append(h.s.Points, Point{
-		At:      r.At,
-		Totals:  maps.Clone(h.s.Totals),
-		Routers: maps.Clone(h.s.Routers),
-		Missing: r.Missing,
+	h.markGone(scrape.At)
+	h.state.Checkpoints = append(h.state.Checkpoints, Checkpoint{
+		At:      scrape.At,
+		Totals:  maps.Clone(h.state.Totals),
+		Routers: maps.Clone(h.state.Routers),
+		Missing: scrape.Missing,
 	})
-	h.thin(r.At)
-	h.forget(r.At)
+	h.thinCheckpoints(scrape.At)
+	h.dropOldRouters(scrape.At)
 	return nil
 }
 
-func (h *History) count(id msg.RouterID, d Reading) {
-	r := h.s.Routers[id]
+func (h *History) addCoverage(id msg.RouterID, d RouterCoverage) {
+	r := h.state.Routers[id]
 	r.Seen += d.Seen
 	r.Missed += d.Missed
 	r.Restarts += d.Restarts
@@ -125,116 +126,117 @@
 	if d.Latest.After(r.Latest) {
 		r.Latest = d.Latest
 	}
-	h.s.Routers[id] = r
+	h.state.Routers[id] = r
 }
 
-// leave counts what was not read of routers that the round at did not name:
-// they left since their last sample.
-func (h *History) leave(at time.Time) {
-	for id, l := range h.s.Last {
-		if l.Gone || h.s.Routers[id].Latest.Equal(at) {
+// markGone marks routers as gone that the scrape at the given time did not name,
+// and counts the time since their last sample as lost.
+func (h *History) markGone(at time.Time) {
+	for id, l := range h.state.Last {
+		if l.Gone || h.state.Routers[id].Latest.Equal(at) {
 			continue
 		}
 		l.Gone = true
-		h.count(id, Reading{Lost: at.Sub(l.At)})
+		h.addCoverage(id, RouterCoverage{Lost: at.Sub(l.At)})
 	}
 }
 
-// addSample adds what the router counted since its last sample.
+// addSample adds the increase of the router's counters since its last sample.
 func (h *History) addSample(s Sample, at time.Time) {
-	last := h.s.Last[s.Router]
-	h.s.Last[s.Router] = &LastSeen{Sample: s, At: at}
+	last := h.state.Last[s.Router]
+	h.state.Last[s.Router] = &LastSeen{Sample: s, At: at}
 	started := at.Add(-s.Uptime)
-	d := Reading{Seen: 1, Latest: at}
+	d := RouterCoverage{Seen: 1, Latest: at}
 	switch {
-	case last == nil && started.Before(h.s.Begin):
-		d.Lost = at.Sub(h.s.Begin)
+	case last == nil && started.Before(h.state.Start):
+		d.Lost = at.Sub(h.state.Start)
 	case last == nil:
 		d.Read = s.Uptime
-		h.increase(s, nil)
+		h.addIncreases(s, nil)
 	case last.Sample.Incarnation != s.Incarnation:
 		d.Restarts = 1
 		d.Read = min(s.Uptime, at.Sub(last.At))
 		d.Lost = at.Sub(last.At) - d.Read
-		h.increase(s, nil)
+		h.addIncreases(s, nil)
 	default:
 		d.Read = at.Sub(last.At)
-		if h.increase(s, last.Sample.Customers) {
+		if h.addIncreases(s, last.Sample.Customers) {
 			d.Restarts = 1
 		}
 	}
-	h.count(s.Router, d)
+	h.addCoverage(s.Router, d)
 }
 
-// increase adds to the totals what s holds above base, and says whether a
-// counter went down; such a counter started again from 0.
-func (h *History) increase(s Sample, base map[msg.CustomerID]Totals) (down bool) {
+// addIncreases adds the increase of the counters from last to s to the totals. It
+// reports whether a counter decreased; such a counter is taken to have restarted
+// from 0.
+func (h *History) addIncreases(s Sample, last map[msg.CustomerID]Totals) (decreased bool) {
 	for id, now := range s.Customers {
-		was := base[id]
-		sum := h.s.Totals[id]
+		previous := last[id]
+		total := h.state.Totals[id]
 		for o := range now {
-			d := now[o].minus(was[o])
-			if now[o].below(was[o]) {
-				down = true
+			d := now[o].minus(previous[o])
+			if now[o].decreasedFrom(previous[o]) {
+				decreased = true
 				d = now[o]
 			}
-			sum[o] = sum[o].plus(d)
+			total[o] = total[o].plus(d)
 		}
-		h.s.Totals[id] = sum
+		h.state.Totals[id] = total
 	}
-	return down
+	return decreased
 }
 
-// The spacing of kept points by age. It bounds how much longer than asked a
-// window may be.
+// The spacing of checkpoints by age. It limits how much a window can exceed its
+// nominal length.
 const (
-	closeAge     = time.Hour + time.Minute
-	middleAge    = 6*time.Hour + 10*time.Minute
-	middleGap    = 5 * time.Minute
-	farGap       = 30 * time.Minute
-	forgetRouter = longest + farGap
+	recentAge       = time.Hour + time.Minute
+	mediumAge       = 6*time.Hour + 10*time.Minute
+	mediumSpacing   = 5 * time.Minute
+	oldSpacing      = 30 * time.Minute
+	routerRetention = longestWindow + oldSpacing
 )
 
 func spacing(age time.Duration) time.Duration {
 	switch {
-	case age <= closeAge:
+	case age <= recentAge:
 		return 0
-	case age <= middleAge:
-		return middleGap
+	case age <= mediumAge:
+		return mediumSpacing
 	default:
-		return farGap
+		return oldSpacing
 	}
 }
 
-// thin drops points that are closer together than their age needs, and those
-// that no window reaches.
-func (h *History) thin(now time.Time) {
-	p := h.s.Points
+// thinCheckpoints drops checkpoints that are closer together than the spacing for
+// their age, and those older than the longest window needs.
+func (h *History) thinCheckpoints(now time.Time) {
+	checkpoints := h.state.Checkpoints
 	first := 0
-	for first+1 < len(p) && now.Sub(p[first+1].At) >= longest {
+	for first+1 < len(checkpoints) && now.Sub(checkpoints[first+1].At) >= longestWindow {
 		first++
 	}
-	kept := make([]Point, 0, len(p)-first)
-	for i := first; i < len(p); i++ {
-		gap := spacing(now.Sub(p[i].At))
-		if len(kept) > 0 && p[i].At.Sub(kept[len(kept)-1].At) < gap {
+	kept := make([]Checkpoint, 0, len(checkpoints)-first)
+	for i := first; i < len(checkpoints); i++ {
+		minSpacing := spacing(now.Sub(checkpoints[i].At))
+		if len(kept) > 0 && checkpoints[i].At.Sub(kept[len(kept)-1].At) < minSpacing {
 			continue
 		}
-		kept = append(kept, p[i])
+		kept = append(kept, checkpoints[i])
 	}
-	h.s.Points = kept
+	h.state.Checkpoints = kept
 }
 
-// forget drops routers that no window can show any more.
-func (h *History) forget(now time.Time) {
-	for id, r := range h.s.Routers {
-		if now.Sub(r.Latest) <= forgetRouter {
+// dropOldRouters drops routers that no window can include any more.
+func (h *History) dropOldRouters(now time.Time) {
+	for id, r := range h.state.Routers {
+		if now.Sub(r.Latest) <= routerRetention {
 			continue
 		}
-		delete(h.s.Last, id)
-		delete(h.s.Routers, id)
-		for _, p := range h.s.Points {
-			delete(p.Routers, id)
+		delete(h.state.Last, id)
+		delete(h.state.Routers, id)
+		for _, checkpoint := range h.state.Checkpoints {
+			delete(checkpoint.Routers, id)
 		}
 	}
 }
--- a/internal/core/burn/report.go
+++ b/internal/core/burn/report.go
@@ -9,28 +9,28 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Report is the burn of every customer and group at one moment.
+// Report holds the burn rates of all customers and groups at one time.
 type Report struct {
-	At      time.Time     `json:"at"`
-	Since   time.Time     `json:"since"` // the oldest reading kept
-	Windows []WindowState `json:"windows"`
-	Rows    []Row         `json:"rows"`
+	At      time.Time        `json:"at"`
+	Since   time.Time        `json:"since"` // time of the oldest checkpoint
+	Windows []WindowCoverage `json:"windows"`
+	Rows    []Row            `json:"rows"`
 }
 
-// WindowState says how well the readings cover one window.
-type WindowState struct {
-	Length  time.Duration   `json:"lengthNs"`
-	From    time.Time       `json:"from"` // the reading that the window starts from
-	Span    time.Duration   `json:"spanNs"`
-	Partial bool            `json:"partial"` // shorter than Length, or with outcomes not read
-	Short   bool            `json:"short"`   // the readings do not reach back so far
-	Seen    uint64          `json:"seen"`    // readings of routers in the window
-	Read    float64         `json:"read"`    // share of the routers' time that was read
-	Routers []RouterReading `json:"routers"` // with a gap or restart in the window
+// WindowCoverage describes how well the scrapes cover a window.
+type WindowCoverage struct {
+	Length  time.Duration `json:"lengthNs"`
+	From    time.Time     `json:"from"` // time of the checkpoint at which the window starts
+	Span    time.Duration `json:"spanNs"`
+	Partial bool          `json:"partial"` // Short is set, or outcomes may not have been scraped
+	Short   bool          `json:"short"`   // no checkpoint is old enough
+	Seen    uint64        `json:"seen"`    // successful scrapes of routers in the window
+	Read    float64       `json:"read"`    // fraction of the routers' uptime that was scraped
+	Routers []RouterGaps  `json:"routers"` // routers with a gap or restart in the window
 }
 
-// gaps says that outcomes of the window may not have been read.
-func (s WindowState) gaps() bool {
+// hasGaps reports whether outcomes in the window may not have been scraped.
+func (s WindowCoverage) hasGaps() bool {
 	for _, r := range s.Routers {
 		if r.Lost > 0 || r.MissingNow {
 			return true
@@ -39,163 +39,162 @@
 	return false
 }
 
-// RouterReading says what is not known of one router within a window.
-type RouterReading struct {
+// RouterGaps describes the gaps in the data of one router in a window.
+type RouterGaps struct {
 	Router     msg.RouterID  `json:"router"`
-	Missed     uint64        `json:"missed"` // readings that failed
+	Missed     uint64        `json:"missed"` // failed scrapes
 	Restarts   uint64        `json:"restarts"`
 	Lost       time.Duration `json:"lostNs"`
 	MissingNow bool          `json:"missingNow"`
 }
 
-// State says what a Burn's rate is worth.
+// State tells whether a burn rate could be measured.
 type State string
 
 // The states of a Burn.
 const (
 	Measured    State = "measured"
-	NoData      State = "no-data"      // none known, and not every router was read
-	NoRequests  State = "no-requests"  // every router was read, and there were none
-	NoObjective State = "no-objective" // the settings promise nothing
+	NoData      State = "no-data"      // no known requests, and not all routers were scraped
+	NoRequests  State = "no-requests"  // no requests, and all routers were scraped
+	NoObjective State = "no-objective" // the settings define no objective
 )
 
-// Burn is the burn rate in one window. Rate counts only in state Measured.
+// Burn is the burn rate in one window. Rate is valid only in state Measured.
 type Burn struct {
 	State  State   `json:"state"`
 	Rate   float64 `json:"rate"`
 	Counts Counts  `json:"counts"`
 }
 
-// Row is one customer's or group's burn of one objective, by window in the
-// order of Report.Windows.
+// Row holds the burn rates of a customer or group for one objective, by window in
+// the order of Report.Windows.
 type Row struct {
 	ID        msg.CustomerID `json:"id"`
 	Group     bool           `json:"group"`
 	Objective Objective      `json:"objective"`
 	Burns     []Burn         `json:"burns"`
-	Alarms    []bool         `json:"alarms"` // by Pairs: both windows at the threshold
+	Alarms    []bool         `json:"alarms"` // in the order of WindowPairs: both windows reach the threshold
 }
 
-// Report computes the burn as of the last round. Customers are those that were
-// counted and those in promises.
-func (h *History) Report(promises map[msg.CustomerID]Promise) Report {
-	if len(h.s.Points) == 0 {
+// Report computes the burn rates as of the last scrape. It includes the customers
+// with counts and those in slos.
+func (h *History) Report(slos map[msg.CustomerID]SLO) Report {
+	if len(h.state.Checkpoints) == 0 {
 		return Report{}
 	}
-	now := h.s.Points[len(h.s.Points)-1]
-	r := Report{At: now.At, Since: h.s.Points[0].At}
-	var bases []Point // by window
+	now := h.state.Checkpoints[len(h.state.Checkpoints)-1]
+	r := Report{At: now.At, Since: h.state.Checkpoints[0].At}
+	var baselines []Checkpoint // by window
 	for _, w := range Windows() {
-		base, short := h.base(now.At.Add(-w))
-		bases = append(bases, base)
-		r.Windows = append(r.Windows, windowState(w, base, now, short))
+		baseline, short := h.baseline(now.At.Add(-w))
+		baselines = append(baselines, baseline)
+		r.Windows = append(r.Windows, windowCoverage(w, baseline, now, short))
 	}
-	r.Rows = computation{now, bases, r.Windows, promises}.rows()
+	r.Rows = reportBuilder{now, baselines, r.Windows, slos}.rows()
 	return r
 }
 
-// base returns the last point at or before start; short says there is none,
-// and the oldest was taken.
-func (h *History) base(start time.Time) (base Point, short bool) {
-	i, found := slices.BinarySearchFunc(h.s.Points, start, func(p Point, t time.Time) int {
+// baseline returns the last checkpoint at or before start. If there is none, it
+// returns the oldest checkpoint and sets short.
+func (h *History) baseline(start time.Time) (baseline Checkpoint, short bool) {
+	i, found := slices.BinarySearchFunc(h.state.Checkpoints, start, func(p Checkpoint, t time.Time) int {
 		return p.At.Compare(t)
 	})
 	switch {
 	case found:
-		return h.s.Points[i], false
+		return h.state.Checkpoints[i], false
 	case i == 0:
-		return h.s.Points[0], true
+		return h.state.Checkpoints[0], true
 	default:
-		return h.s.Points[i-1], false
+		return h.state.Checkpoints[i-1], false
 	}
 }
 
-// windowState says what the readings from base to now know of a window of
-// length w.
-func windowState(w time.Duration, base, now Point, short bool) WindowState {
-	s := WindowState{
+// windowCoverage returns the coverage from baseline to now of a window of length w.
+func windowCoverage(w time.Duration, baseline, now Checkpoint, short bool) WindowCoverage {
+	s := WindowCoverage{
 		Length: w,
-		From:   base.At,
-		Span:   now.At.Sub(base.At),
+		From:   baseline.At,
+		Span:   now.At.Sub(baseline.At),
 		Short:  short,
 	}
 	var read, lost time.Duration
 	for _, id := range slices.Sorted(maps.Keys(now.Routers)) {
-		d := now.Routers[id].minus(base.Routers[id])
+		d := now.Routers[id].minus(baseline.Routers[id])
 		missing := slices.Contains(now.Missing, id)
 		if missing {
-			d.Lost += unread(s.Span, d)
+			d.Lost += unreadTime(s.Span, d)
 		}
 		s.Seen += d.Seen
 		read += d.Read
 		lost += d.Lost
-		r := RouterReading{Router: id, Missed: d.Missed, Restarts: d.Restarts, Lost: d.Lost, MissingNow: missing}
-		if r != (RouterReading{Router: id}) {
+		r := RouterGaps{Router: id, Missed: d.Missed, Restarts: d.Restarts, Lost: d.Lost, MissingNow: missing}
+		if r != (RouterGaps{Router: id}) {
 			s.Routers = append(s.Routers, r)
 		}
 	}
 	if read+lost > 0 {
 		s.Read = read.Seconds() / (read + lost).Seconds()
 	}
-	s.Partial = short || s.gaps()
+	s.Partial = short || s.hasGaps()
 	return s
 }
 
-// unread is how much of the window is not known of a router that cannot be
-// read now, when the window holds d of it.
-func unread(span time.Duration, d Reading) time.Duration {
+// unreadTime returns the part of a window for which there is no data about a router
+// that cannot be scraped now, given its coverage d in the window.
+func unreadTime(span time.Duration, d RouterCoverage) time.Duration {
 	return max(span-d.Read-d.Lost, 0)
 }
 
-// key names a row.
-type key struct {
+// rowKey identifies a row.
+type rowKey struct {
 	id    msg.CustomerID
 	group bool
 }
 
-// spent is what a row used and was allowed in each window.
-type spent struct {
+// rowSums holds the counts of a row and the allowed bad outcomes, by window.
+type rowSums struct {
 	counts  []Counts
 	allowed []float64
-	promise bool
+	hasSLO  bool
 }
 
-// computation is what the rows are computed from.
-type computation struct {
-	now      Point
-	bases    []Point // by window: the point that it starts from
-	windows  []WindowState
-	promises map[msg.CustomerID]Promise
+// reportBuilder holds the data from which the rows are computed.
+type reportBuilder struct {
+	now       Checkpoint
+	baselines []Checkpoint // by window: the checkpoint at which it starts
+	windows   []WindowCoverage
+	slos      map[msg.CustomerID]SLO
 }
 
-// rows returns the rows by ID, then by objective.
-func (c computation) rows() []Row {
+// rows returns the rows sorted by ID, then by objective.
+func (c reportBuilder) rows() []Row {
 	ids := map[msg.CustomerID]bool{}
 	for id := range c.now.Totals {
 		ids[id] = true
 	}
-	for id := range c.promises {
+	for id := range c.slos {
 		ids[id] = true
 	}
 	var out []Row
 	for _, o := range Objectives() {
-		out = append(out, c.objective(o, ids)...)
+		out = append(out, c.objectiveRows(o, ids)...)
 	}
 	slices.SortStableFunc(out, func(a, b Row) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
-// objective returns the rows of one objective, for each customer that was
-// counted or promised it and for the groups above.
-func (c computation) objective(o Objective, ids map[msg.CustomerID]bool) []Row {
-	sums := map[key]*spent{}
+// objectiveRows returns the rows of one objective, for each customer that has counts
+// for it or to which it applies, and for the groups of these customers.
+func (c reportBuilder) objectiveRows(o Objective, ids map[msg.CustomerID]bool) []Row {
+	sums := map[rowKey]*rowSums{}
 	for id := range ids {
-		if !c.promises[id].covers(o) && c.now.Totals[id][o].Total == 0 {
+		if !c.slos[id].covers(o) && c.now.Totals[id][o].Total == 0 {
 			continue
 		}
-		c.add(sums, key{id: id}, id, o)
+		c.addCustomer(sums, rowKey{id: id}, id, o)
 		for _, g := range Groups(id) {
-			c.add(sums, key{id: g, group: true}, id, o)
+			c.addCustomer(sums, rowKey{id: g, group: true}, id, o)
 		}
 	}
 	out := make([]Row, 0, len(sums))
@@ -206,46 +205,47 @@
 	return out
 }
 
-// add adds the customer's counts to the row k.
-func (c computation) add(sums map[key]*spent, k key, id msg.CustomerID, o Objective) {
+// addCustomer adds the customer's counts to the row k. Customers without an
+// objective are not included in groups.
+func (c reportBuilder) addCustomer(sums map[rowKey]*rowSums, k rowKey, id msg.CustomerID, o Objective) {
 	s, ok := sums[k]
 	if !ok {
-		s = &spent{counts: make([]Counts, len(c.bases)), allowed: make([]float64, len(c.bases))}
+		s = &rowSums{counts: make([]Counts, len(c.baselines)), allowed: make([]float64, len(c.baselines))}
 		sums[k] = s
 	}
-	p := c.promises[id]
-	s.promise = s.promise || p.allowed(o, 1) > 0
-	if k.group && p.allowed(o, 1) == 0 {
+	p := c.slos[id]
+	s.hasSLO = s.hasSLO || p.allowedBad(o, 1) > 0
+	if k.group && p.allowedBad(o, 1) == 0 {
 		return
 	}
-	for w, base := range c.bases {
-		d := c.now.Totals[id][o].minus(base.Totals[id][o])
+	for w, baseline := range c.baselines {
+		d := c.now.Totals[id][o].minus(baseline.Totals[id][o])
 		s.counts[w] = s.counts[w].plus(d)
-		s.allowed[w] += p.allowed(o, d.Total)
+		s.allowed[w] += p.allowedBad(o, d.Total)
 	}
 }
 
-// row returns the row of what was spent, with its alarms.
-func (c computation) row(k key, o Objective, s *spent) Row {
+// row returns the row for the sums s, with its alarms.
+func (c reportBuilder) row(k rowKey, o Objective, s *rowSums) Row {
 	r := Row{ID: k.id, Group: k.group, Objective: o}
 	for w, state := range c.windows {
 		r.Burns = append(r.Burns, s.burn(w, state))
 	}
-	for _, p := range Pairs() {
-		r.Alarms = append(r.Alarms, r.at(p.Short) >= p.Threshold && r.at(p.Long) >= p.Threshold)
+	for _, p := range WindowPairs() {
+		r.Alarms = append(r.Alarms, r.rateIn(p.Short) >= p.Threshold && r.rateIn(p.Long) >= p.Threshold)
 	}
 	return r
 }
 
-// burn returns the burn in the window w, whose state is given.
-func (s *spent) burn(w int, state WindowState) Burn {
+// burn returns the burn rate in the window with index w and the given coverage.
+func (s *rowSums) burn(w int, state WindowCoverage) Burn {
 	b := Burn{State: Measured, Counts: s.counts[w]}
 	switch {
-	case !s.promise:
+	case !s.hasSLO:
 		b.State = NoObjective
 	case s.counts[w].Total > 0:
 		b.Rate = float64(s.counts[w].Bad) / s.allowed[w]
-	case state.Seen == 0 || state.gaps():
+	case state.Seen == 0 || state.hasGaps():
 		b.State = NoData
 	default:
 		b.State = NoRequests
@@ -253,8 +253,8 @@
 	return b
 }
 
-// at returns the rate in the window of length w, or 0 when it is not measured.
-func (r Row) at(w time.Duration) float64 {
+// rateIn returns the rate in the window of length w, or 0 if it was not measured.
+func (r Row) rateIn(w time.Duration) float64 {
 	b := r.Burns[slices.Index(Windows(), w)]
 	if b.State != Measured {
 		return 0
--- a/internal/core/burn/series.go
+++ b/internal/core/burn/series.go
@@ -6,22 +6,22 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Value is a burn rate at a moment.
-type Value struct {
+// RatePoint is a burn rate at a point in time.
+type RatePoint struct {
 	At   time.Time
 	Rate float64
 }
 
-// Series returns the burn rate of one customer's objective over time, each
-// value over the window that ends at its moment. Moments without a measured
-// rate are left out.
-func (h *History) Series(id msg.CustomerID, o Objective, p Promise, window time.Duration) []Value {
-	var out []Value
-	for _, now := range h.s.Points {
-		base, _ := h.base(now.At.Add(-window))
-		c := now.Totals[id][o].minus(base.Totals[id][o])
-		if allowed := p.allowed(o, c.Total); allowed > 0 {
-			out = append(out, Value{At: now.At, Rate: float64(c.Bad) / allowed})
+// Series returns the burn rate of a customer's objective over time. Each value
+// covers the window that ends at its time. Times without a measured rate are left
+// out.
+func (h *History) Series(id msg.CustomerID, o Objective, slo SLO, window time.Duration) []RatePoint {
+	var out []RatePoint
+	for _, now := range h.state.Checkpoints {
+		baseline, _ := h.baseline(now.At.Add(-window))
+		c := now.Totals[id][o].minus(baseline.Totals[id][o])
+		if allowed := slo.allowedBad(o, c.Total); allowed > 0 {
+			out = append(out, RatePoint{At: now.At, Rate: float64(c.Bad) / allowed})
 		}
 	}
 	return out
--- a/test/cmd/report/main.go
+++ b/test/cmd/report/main.go
@@ -147,7 +147,7 @@
 
 // result is what is read of the JSON report.
 type result struct {
-	Windows []burn.WindowState `json:"windows"`
+	Windows []burn.WindowCoverage `json:"windows"`
 	Rows    []struct {
 		ID        msg.CustomerID `json:"id"`
 		Group     bool           `json:"group"`
