--- a/internal/core/claim/index.go
+++ b/internal/core/claim/index.go
@@ -134,7 +134,7 @@
 }
 
 // Index is the writing side of the index in one run of a router. It is not safe
-// for concurrent use.
+// for concurrent use, because a single goroutine writes the claims of a router.
 type Index struct {
 	writer       Writer
 	firstUnswept Hour                // all earlier hours have been swept
--- a/internal/core/member/step.go
+++ b/internal/core/member/step.go
@@ -96,7 +96,8 @@
 }
 
 // compareViews starts a sync with a sender that is not in the view, or whose
-// view digest has differed syncAfterMismatches times in a row.
+// view digest has differed syncAfterMismatches times in a row. A router that has
+// not joined yet starts one with any sender.
 func (n *Node) compareViews(now time.Duration, from msg.RouterID, m Message) {
 	e, ok := n.members[from]
 	if !ok || e.Incarnation != m.Incarnation || !e.State.present() || !n.joined {
