--- a/internal/core/poison/bench_test.go
+++ b/internal/core/poison/bench_test.go
@@ -7,21 +7,21 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// full is a table without room, one of whose contents is blocked.
-func full() *Table {
+// fullTable returns a table at its maximum size with one blocked content.
+func fullTable() *Table {
 	t := New()
 	for i := range CrashesToBlock {
-		t.Crashed(guilty, end(i, 500*i))
+		t.Crashed(culprit, crashAt(i, 500*i))
 	}
-	for c := range most {
-		t.Crashed(routing.Content(10+c), end(1, 2000))
+	for c := range maxContents {
+		t.Crashed(routing.Content(10+c), crashAt(1, 2000))
 	}
 	return t
 }
 
-// What each request pays while servers have crashed lately.
+// The cost for each request after recent server crashes.
 func BenchmarkBlocked(b *testing.B) {
-	t := full()
+	t := fullTable()
 	body := make([]byte, 10<<10)
 	now := at(2000)
 	for b.Loop() {
@@ -29,22 +29,22 @@
 	}
 }
 
-// What each end costs when the table has no room.
-func BenchmarkEnded(b *testing.B) {
-	t := full()
+// The cost of each crash when the table is full.
+func BenchmarkCrashedWhenFull(b *testing.B) {
+	t := fullTable()
 	c := routing.Content(1 << 32)
 	for b.Loop() {
 		c++
-		t.Crashed(c, end(1, 2000))
+		t.Crashed(c, crashAt(1, 2000))
 	}
 }
 
-// What is worked out five times a second, and 2.5 times a second.
-func BenchmarkTickAndRepeat(b *testing.B) {
-	t := full()
+// The periodic work: Tick runs five times a second, RecordsToRepeat 2.5 times.
+func BenchmarkTickAndRecordsToRepeat(b *testing.B) {
+	t := fullTable()
 	now := at(2000).Add(time.Second)
 	for b.Loop() {
 		t.Tick(rng(), now)
-		t.Repeat(16, now)
+		t.RecordsToRepeat(16, now)
 	}
 }
--- a/internal/core/poison/model_test.go
+++ b/internal/core/poison/model_test.go
@@ -12,18 +12,20 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// model is a fleet before servers that some contents crash. It has no network: requests are
-// placed, run and end in steps, and what routers report reaches the others after a delay.
+// model simulates a fleet of routers and the servers that some contents crash. There is no network:
+// requests are placed, run and end in discrete steps, and reports reach the other routers after a
+// delay.
 type model struct {
 	rng     *rand.Rand
 	now     time.Time
 	routers []*modelRouter
 	servers []modelServer
 	running []modelRun
-	// nextKey names the next start of a server. silent says that the platform's list tells of none.
+	// nextKey is the key of the next server start. If silent is set, the platform's list reports no
+	// restarts.
 	nextKey routing.ServerKey
 	silent  bool
-	crashes map[routing.Content]int // servers that each content crashed
+	crashes map[routing.Content]int // number of servers that each content crashed
 	refused map[routing.Content]time.Duration
 	reports []modelReport
 	delay   time.Duration
@@ -32,12 +34,12 @@
 type modelRouter struct {
 	id       int
 	table    *Table
-	answered map[int]time.Time // by server
+	answered map[int]time.Time // last answer of each server
 }
 
 type modelServer struct {
 	key routing.ServerKey
-	up  time.Time // down until then
+	up  time.Time // the server is down until this time
 }
 
 type modelRun struct {
@@ -56,30 +58,30 @@
 	list []Record
 }
 
-// modelRuns is how many runs of each size of fleet are played, modelStream the stream from which they draw.
+// modelRuns is the number of runs for each fleet size, modelStream selects the random stream.
 var (
 	modelRuns   = flag.Int("model.runs", 40, "runs of the model of a fleet, for each size")
 	modelStream = flag.Uint64("model.stream", 17, "stream of random numbers of the model")
 )
 
 const (
-	// innocents is how many innocent contents there are, and the rates how many copies of each
-	// content come in a second.
-	innocents    = 12
-	innocentRate = 4.0
-	guiltyRate   = 10.0
+	// bystanders is the number of harmless contents; the rates are the requests per second of each
+	// content.
+	bystanders    = 12
+	bystanderRate = 4.0
+	culpritRate   = 10.0
 
-	modelStep = 10 * time.Millisecond
-	// crashAfter is how far into its run a guilty content crashes the server, runFor how long
-	// an innocent one runs.
-	crashAfter = 30 * time.Millisecond
-	runFor     = 150 * time.Millisecond
-	// firstAfter is when the first event of its answer comes.
-	firstAfter = 50 * time.Millisecond
-	// downFor is how long a server is away after a crash.
+	modelInterval = 10 * time.Millisecond
+	// crashAfter is how long a culprit runs before it crashes the server, bystanderRunTime how long
+	// a harmless request runs.
+	crashAfter       = 30 * time.Millisecond
+	bystanderRunTime = 150 * time.Millisecond
+	// firstEventAfter is when the first event of a harmless response arrives.
+	firstEventAfter = 50 * time.Millisecond
+	// downFor is how long a server is down after a crash.
 	downFor = 300 * time.Millisecond
-	// firstInnocent is the content from which on contents are innocent.
-	firstInnocent = 100
+	// firstBystander is the lowest harmless content; lower ones are culprits.
+	firstBystander = 100
 )
 
 func newModel(seed uint64, routers, servers int, delay time.Duration, silent bool) *model {
@@ -97,13 +99,13 @@
 	return m
 }
 
-// rank returns a router's place for a content.
+// rank returns the function that gives the router's trial position for a content.
 func (r *modelRouter) rank(routers int) func(routing.Content) int {
 	return func(c routing.Content) int { return (r.id + int(c)*7) % routers }
 }
 
-// send sends a request by a random router: to the home of all prompts in half of the cases, so that
-// the same contents meet again and again.
+// send sends a request through a random router. In about half of the cases it goes to the first
+// server that is up, like prompts with one home server, so that the same contents meet repeatedly.
 func (m *model) send(c routing.Content) {
 	r := m.routers[m.rng.IntN(len(m.routers))]
 	a := r.table.Admit(c, r.rank(len(m.routers)), m.now)
@@ -124,22 +126,22 @@
 		return
 	}
 	at := up[0]
-	if a.Apart || m.rng.IntN(2) == 0 {
+	if a.Isolate || m.rng.IntN(2) == 0 {
 		at = up[m.rng.IntN(len(up))]
 	}
 	takes := crashAfter
-	if c >= firstInnocent {
-		takes = runFor
+	if c >= firstBystander {
+		takes = bystanderRunTime
 	}
 	m.running = append(m.running, modelRun{c, r, at, m.servers[at].key, m.now, m.now.Add(takes), a.Trial, false})
 }
 
-// step ends what is over, and takes reports.
+// step advances the time, completes requests that are due and delivers reports.
 func (m *model) step() {
-	m.now = m.now.Add(modelStep)
+	m.now = m.now.Add(modelInterval)
 	for i := range m.running {
 		run := &m.running[i]
-		if run.c >= firstInnocent && !run.begun && m.now.Sub(run.sent) >= firstAfter {
+		if run.c >= firstBystander && !run.begun && m.now.Sub(run.sent) >= firstEventAfter {
 			run.begun = true
 			run.router.answered[run.server] = m.now
 		}
@@ -148,7 +150,7 @@
 		if m.now.Before(run.end) || !slices.Contains(m.running, run) {
 			continue
 		}
-		if run.c < firstInnocent {
+		if run.c < firstBystander {
 			m.crash(run)
 			continue
 		}
@@ -165,7 +167,7 @@
 		m.reports = m.reports[1:]
 		for _, r := range m.routers {
 			if r != report.from {
-				r.table.Merge(report.list, m.rng, m.now.Add(-time.Duration(m.rng.Int64N(int64(modelStep))))) // reports take their time
+				r.table.Merge(report.list, m.rng, m.now.Add(-time.Duration(m.rng.Int64N(int64(modelInterval))))) // varying transmission delay
 			}
 		}
 	}
@@ -178,14 +180,14 @@
 	}
 }
 
-// crash ends the server of a run with all that runs there.
+// crash crashes the server of the given request, and with it all requests that run there.
 func (m *model) crash(by modelRun) {
 	m.crashes[by.c]++
 	for _, run := range slices.Clone(m.running) {
 		if run.server != by.server {
 			continue
 		}
-		run.router.table.Crashed(run.c, Crash{Server: run.key, Sent: run.sent, At: m.now, Answered: run.router.answered[run.server], Accepted: m.rng.IntN(2) == 0})
+		run.router.table.Crashed(run.c, Crash{Server: run.key, Sent: run.sent, At: m.now, LastAnswered: run.router.answered[run.server], Accepted: m.rng.IntN(2) == 0})
 		m.remove(run)
 	}
 	s := &m.servers[by.server]
@@ -199,30 +201,30 @@
 	}
 }
 
-// play sends copies of that many guilty contents and of the innocent ones.
-func (m *model) play(lasts time.Duration, guilties int) {
+// run sends requests of the given number of culprits and of the bystanders.
+func (m *model) run(lasts time.Duration, culprits int) {
 	for m.now.Before(start.Add(lasts)) {
-		for c := range routing.Content(guilties) {
-			if m.rng.Float64() < guiltyRate*modelStep.Seconds() {
+		for c := range routing.Content(culprits) {
+			if m.rng.Float64() < culpritRate*modelInterval.Seconds() {
 				m.send(c + 1)
 			}
 		}
-		for c := range routing.Content(innocents) {
-			if m.rng.Float64() < innocentRate*modelStep.Seconds() {
-				m.send(firstInnocent + c)
+		for c := range routing.Content(bystanders) {
+			if m.rng.Float64() < bystanderRate*modelInterval.Seconds() {
+				m.send(firstBystander + c)
 			}
 		}
 		m.step()
 	}
 }
 
-// Regression: a request that ran beside one that crashes servers was blocked for ten minutes. The
-// guilty one crashes nine servers at most, and as many as its copies reach while a report
-// travels: three until it is a suspect, three while it is told from others, three that are
-// under way.
-func TestTheGuiltyOneOfThoseThatEndTogetherIsTold(t *testing.T) {
+// Regression: a harmless request that ran beside a poison request was blocked for ten minutes. A
+// culprit may crash at most nine servers plus as many as its copies reach while a report is in
+// transit: three until it is a suspect, three while it is distinguished from others, and three by
+// requests in flight.
+func TestCulpritIsDistinguishedFromBystanders(t *testing.T) {
 	for _, c := range []struct {
-		routers, servers, guilties int
+		routers, servers, culprits int
 		delay                      time.Duration
 		silent                     bool
 	}{
@@ -235,27 +237,27 @@
 		{120, 18, 1, 150 * time.Millisecond, false}, {120, 18, 2, 150 * time.Millisecond, false},
 		{295, 18, 2, 300 * time.Millisecond, false},
 	} {
-		runs, most, blocked, held := *modelRuns, 0, 0, 0
+		runs, mostCrashes, blocked, delayed := *modelRuns, 0, 0, 0
 		if c.routers > 8 {
 			runs = max(*modelRuns/10, 1)
 		}
 		for seed := range uint64(runs) {
 			m := newModel(seed, c.routers, c.servers, c.delay, c.silent)
-			m.play(20*time.Second, c.guilties)
-			for g := range routing.Content(c.guilties) {
-				most = max(most, m.crashes[g+1])
+			m.run(20*time.Second, c.culprits)
+			for g := range routing.Content(c.culprits) {
+				mostCrashes = max(mostCrashes, m.crashes[g+1])
 			}
-			for i := range routing.Content(innocents) {
-				if w := m.refused[firstInnocent+i]; w > time.Minute {
+			for i := range routing.Content(bystanders) {
+				if w := m.refused[firstBystander+i]; w > time.Minute {
 					blocked++
-					t.Logf("seed %d: content %d blocked", seed, firstInnocent+i)
+					t.Logf("seed %d: harmless content %d blocked", seed, firstBystander+i)
 				} else if w > 0 {
-					held++
+					delayed++
 				}
 			}
 		}
-		t.Logf("%3d routers, %2d servers, %d guilty, silent %v: %d runs, at most %d crashed by one, %d innocent blocked, %d held back", c.routers, c.servers, c.guilties, c.silent, runs, most, blocked, held)
-		assert.Check(t, most <= 9+int(guiltyRate*c.delay.Seconds()))
+		t.Logf("%3d routers, %2d servers, %d culprits, silent %v: %d runs, at most %d servers crashed by one content, %d harmless contents blocked, %d delayed", c.routers, c.servers, c.culprits, c.silent, runs, mostCrashes, blocked, delayed)
+		assert.Check(t, mostCrashes <= 9+int(culpritRate*c.delay.Seconds()))
 		assert.Check(t, blocked == 0)
 	}
 }
--- a/internal/core/poison/poison.go
+++ b/internal/core/poison/poison.go
@@ -1,15 +1,15 @@
-// Package poison finds requests that crash the servers which run them (poison requests,
-// queries of death). Such a request comes again and again, under new attempt IDs, at any
-// router, and crashes one server after the other with all that they run.
+// Package poison detects requests that crash the servers which run them (poison requests, queries of
+// death). Such a request is retried under new attempt IDs, through any router, and crashes one
+// server after another together with everything else that runs there.
 //
-// Each router notes under which contents a server crashed (Crash) and reports it to the others, so
-// that all hold the same table within some reports. A content under which servers have crashed
-// three times, with no complete response since, is blocked for minutes if no other suspect was there
-// (Blocked). Otherwise it is held back for seconds and then tried alone (Admit): a response clears it,
-// one more crash tells it from what ran beside it.
+// Each router records the contents that were running when a server crashed (Crash) and reports them
+// to the others, so that all routers converge on the same table after a few reports. A content with
+// three crashes and no complete response since then is blocked for minutes if no other suspect ran
+// at those servers (Blocked). Otherwise it is delayed for seconds and then tried on its own (Admit):
+// a response clears it, and a further crash distinguishes it from the contents that ran beside it.
 //
-// The package has no input or output; time comes in as an argument. Tables merge in any order
-// and as often as they are told.
+// The package performs no I/O; time is passed in as an argument. Merging is commutative and
+// idempotent.
 package poison
 
 import (
@@ -21,101 +21,105 @@
 )
 
 const (
-	// CrashesToBlock is how many times servers have to crash under a content for it to be
-	// blocked. Two may be chance. By count: of 40 requests that one of 18 engines runs beside a
-	// guilty one and that all come again, 40/18 meet it a second time and 40/324 a third.
+	// CrashesToBlock is the number of server crashes after which a content may be blocked. Two may
+	// be coincidence. By calculation: if one of 18 engines runs 40 requests beside a poison request
+	// and all of them are retried, 40/18 of them meet it a second time and 40/324 a third time.
 	CrashesToBlock = 3
-	// suspectFrom is from how many crashes on a content is weighed against others.
-	suspectFrom = 2
-	// firstPause is how long a content in doubt is held back before it is tried alone. Each
-	// further crash makes it pauseX times as long, up to BlockFor.
-	firstPause = time.Second
-	pauseX     = 4
-	// trialStep is how much later than the router before it each router may try a content in
-	// doubt, beside the time that the content needs to crash a server: by then all know how
-	// the trial before ended.
-	trialStep = time.Second
-	// sameMoment is the time within which crashes of servers count once, unless the later
-	// run was sent after the earlier crash. A lost rack or power feed takes many servers at
-	// once, and a content that many callers ask for runs at several of them.
-	sameMoment = 100 * time.Millisecond
-	// BlockFor is how long a content is blocked after the last crash. After it one more crash
-	// blocks it again: what can't be mended costs a server in each such time, and what was
-	// mended meanwhile, or was blocked by chance, is served again.
-	BlockFor = 10 * time.Minute
-	// unconfirmedBlock is the same where some of the crashes are of starts that may be none.
-	unconfirmedBlock = 10 * time.Second
-	// forgetAfter is when a content is forgotten after the last crash under it.
-	forgetAfter = time.Hour
-	// most bounds the contents that are remembered: 100 engines that crash with 40 requests
-	// each. One takes some 300 bytes.
-	most = 4096
-	// crashesKept bounds the crashes that are kept of one content, the newest.
-	crashesKept = 8
-	// reportsWithin is how long after a crash other routers' reports may still tell that another
-	// content is a suspect and explains it: until then no caller is told of minutes.
-	reportsWithin = time.Second
-	// newer is by how much a moment that is told has to be later than the one known to be
-	// another: each router that tells it on makes it later by the way.
-	newer = 500 * time.Millisecond
+	// crashesToSuspect is the number of crashes from which a content is a suspect and is compared
+	// with others.
+	crashesToSuspect = 2
+	// initialPause is how long an ambiguous content is delayed before it is tried on its own. Each
+	// further crash multiplies the pause by pauseFactor, up to BlockDuration.
+	initialPause = time.Second
+	pauseFactor  = 4
+	// trialInterval separates the trials of an ambiguous content by successive routers, in addition
+	// to the time that the content needs to crash a server: by then every router knows the result of
+	// the previous trial.
+	trialInterval = time.Second
+	// coincidenceWindow is the interval within which several crashes count as one, unless the later
+	// run was sent after the earlier crash. Losing a rack or a power feed stops many servers at
+	// once, and a content that many callers request runs on several of them.
+	coincidenceWindow = 100 * time.Millisecond
+	// BlockDuration is how long a content is blocked after its last crash. After that, a single
+	// further crash blocks it again: a request that is never fixed costs one server per period, and
+	// one that has been fixed or was blocked by coincidence is served again.
+	BlockDuration = 10 * time.Minute
+	// unconfirmedBlockDuration replaces BlockDuration if the content reaches CrashesToBlock only by
+	// crashes of unconfirmed server starts.
+	unconfirmedBlockDuration = 10 * time.Second
+	// retention is how long a content is kept after its last crash.
+	retention = time.Hour
+	// maxContents bounds the number of contents in the table: 100 engines that crash with 40
+	// requests each. A record takes about 300 bytes.
+	maxContents = 4096
+	// maxCrashesPerContent bounds the crashes kept for one content; the newest are kept.
+	maxCrashesPerContent = 8
+	// maxReportDelay is how long after a crash reports from other routers may still show that
+	// another content is a suspect and explains the crash. Until then no caller is told to wait for
+	// minutes.
+	maxReportDelay = time.Second
+	// reportTimeTolerance is how much later a reported time has to be than the known one to count as
+	// a different event: each router that forwards a report adds its transmission delay.
+	reportTimeTolerance = 500 * time.Millisecond
 )
 
-// Crash is that of a server while it ran a request.
+// Crash describes the crash of a server while it was running a request.
 type Crash struct {
 	Server routing.ServerKey
-	Sent   time.Time // when the request was sent there
+	Sent   time.Time // when the request was sent to the server
 	At     time.Time // when the server crashed
-	// Answered is when the server last answered any request of this router; zero: never, or
-	// not known.
-	Answered time.Time
-	// Accepted says that the server had taken a new connection for the request, and read it.
+	// LastAnswered is when the server last answered any request of this router; zero if never or
+	// unknown.
+	LastAnswered time.Time
+	// Accepted reports whether the server had accepted a new connection for the request and read it.
 	Accepted bool
 }
 
-// Change is what one crash changed.
+// Change describes the effect of one crash.
 type Change struct {
-	Crashes int  // that count, since the last complete response
-	Blocked bool // the content is blocked from now on
-	Doubted bool // the content is in doubt from now on
+	Crashes   int  // counted crashes since the last complete response
+	Blocked   bool // the content has just become blocked
+	Ambiguous bool // the content has just become ambiguous
 }
 
-// Admission says whether a request with a content may be sent.
+// Admission tells whether a request with a given content may be sent.
 type Admission struct {
-	Wait    time.Duration // it may not, for so long
-	InDoubt bool          // it may not, and others may be the cause
-	Trial   bool          // it may, as the only one at this router; EndTrial has to follow
-	// Apart says that it is to run apart from other suspects.
-	Apart bool
+	Wait      time.Duration // how long the request may not be sent; 0 if it may
+	Ambiguous bool          // it may not be sent, and another content may have caused the crashes
+	Trial     bool          // it may be sent, as the only one with this content at this router; EndTrial must follow
+	// Isolate means that the request must run on a server without other suspects.
+	Isolate bool
 }
 
-// record is what is known of one content.
+// record is the state of one content.
 type record struct {
-	crashes     []Crash   // by At
-	succeededAt time.Time // the last complete response to it
-	// counted are the crashes since the last complete response, one for each moment; confirmed are
-	// those of them in which a start of the server crashed that was seen to run.
-	counted   []Crash
-	confirmed []Crash
-	verdict   verdict
-	certain   bool      // the verdict rests on confirmed crashes
-	trial     bool      // a request with it is being tried at this router
-	own       bool      // this router saw one of its crashes
-	held      bool      // it was blocked when it was last looked at
-	stored    bool      // the store has it
-	due       time.Time // when this router writes it into the store
+	crashes     []Crash   // ordered by At
+	succeededAt time.Time // when the last complete response came
+	// counted holds the crashes since the last complete response, simultaneous ones merged;
+	// confirmed is the subset whose server start has been seen running.
+	counted      []Crash
+	confirmed    []Crash
+	class        class
+	conclusive   bool      // the class is based on confirmed crashes alone
+	trialRunning bool      // a trial request is running at this router
+	sawCrash     bool      // this router itself observed one of the crashes
+	wasBlocked   bool      // the content was blocked at the last update
+	stored       bool      // the store has this record
+	storeAt      time.Time // when this router writes the record to the store
 }
 
-// Table is what a router knows. It is not safe for concurrent use.
+// Table is one router's view of crash-related contents. It is not safe for concurrent use.
 type Table struct {
-	records map[routing.Content]*record
-	order   []routing.Content // of the records, as they came
-	// suspects are the contents with two crashes or more, stale says that their verdicts are.
-	suspects map[routing.Content]*record
-	stale    bool
-	// crashedAt is when each start of a server is first known to have crashed.
+	records        map[routing.Content]*record
+	insertionOrder []routing.Content // keys of records, oldest first
+	// suspects holds the contents with at least crashesToSuspect crashes. If classesStale is set,
+	// their classes need to be recomputed.
+	suspects     map[routing.Content]*record
+	classesStale bool
+	// crashedAt holds the earliest known crash time of each server start.
 	crashedAt map[routing.ServerKey]time.Time
-	dirty     map[routing.Content]bool // what the others are to be told
-	lifted    map[routing.Content]bool // what the store is to forget
+	dirty     map[routing.Content]bool // records to report to other routers
+	unblocked map[routing.Content]bool // contents to remove from the store
 }
 
 // New returns an empty table.
@@ -125,32 +129,32 @@
 		suspects:  map[routing.Content]*record{},
 		crashedAt: map[routing.ServerKey]time.Time{},
 		dirty:     map[routing.Content]bool{},
-		lifted:    map[routing.Content]bool{},
+		unblocked: map[routing.Content]bool{},
 	}
 }
 
-// Empty reports whether no server has crashed lately: then nothing is blocked, and no
-// answer tells anything.
+// Empty reports whether no server has crashed recently: then nothing is blocked and responses need
+// no bookkeeping.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
-// Crashed notes that a server crashed under one of this router's own requests.
-func (t *Table) Crashed(c routing.Content, e Crash) Change {
-	e.Server = t.startOf(e)
-	r := t.get(c)
-	if !t.add(r, e) {
+// Crashed records that a server crashed while running one of this router's own requests.
+func (t *Table) Crashed(c routing.Content, crash Crash) Change {
+	crash.Server = t.startKey(crash)
+	r := t.recordFor(c)
+	if !t.addCrash(r, crash) {
 		return Change{Crashes: len(r.counted)}
 	}
-	r.own = true
+	r.sawCrash = true
 	t.dirty[c] = true
-	doubted := r.verdict == inDoubt
-	t.changed(c, r)
-	blocked := slices.Contains(t.settle(e.At), c)
-	return Change{Crashes: len(r.counted), Blocked: blocked, Doubted: r.verdict == inDoubt && !doubted}
+	wasAmbiguous := r.class == ambiguous
+	t.crashesChanged(c, r)
+	blocked := slices.Contains(t.updateBlocked(crash.At), c)
+	return Change{Crashes: len(r.counted), Blocked: blocked, Ambiguous: r.class == ambiguous && !wasAmbiguous}
 }
 
-// Succeeded notes a complete response to the content, and reports whether it counted as a suspect
-// or on the way to it. It returns the contents that are newly blocked, since this one
-// explains their crashes no longer.
+// Succeeded records a complete response to the content and reports whether the content had counted
+// crashes. It returns the contents that become blocked because this one no longer explains their
+// crashes.
 func (t *Table) Succeeded(c routing.Content, now time.Time) (cleared bool, blocked []routing.Content) {
 	r := t.records[c]
 	if r == nil || len(r.counted) == 0 {
@@ -158,209 +162,209 @@
 	}
 	r.succeededAt = now
 	t.dirty[c] = true
-	t.changed(c, r)
-	return true, t.settle(now)
+	t.crashesChanged(c, r)
+	return true, t.updateBlocked(now)
 }
 
-// Blocked returns for how long the content is sent to no server yet; 0: it may be.
+// Blocked returns how much longer the content must not be sent to any server; 0 if it may be sent.
 func (t *Table) Blocked(c routing.Content, now time.Time) time.Duration {
 	r := t.records[c]
 	if r == nil {
 		return 0
 	}
-	t.judge()
-	return max(0, r.until().Sub(now))
+	t.classify()
+	return max(0, r.blockedUntil().Sub(now))
 }
 
-// Admit says whether a request with the content may be sent now. rank is the place of this router
-// among those that may try a content in doubt: the later ones do so later.
+// Admit decides whether a request with the content may be sent now. rank returns this router's
+// position among the routers that may try an ambiguous content; later positions try it later.
 func (t *Table) Admit(c routing.Content, rank func(routing.Content) int, now time.Time) Admission {
 	r := t.records[c]
 	if r == nil || len(r.counted) < CrashesToBlock {
-		return Admission{Apart: t.suspects[c] != nil}
+		return Admission{Isolate: t.suspects[c] != nil}
 	}
 	if wait := t.Blocked(c, now); wait > 0 {
-		early := r.last().Add(reportsWithin).Sub(now)
-		if r.verdict == convicted && early > 0 && len(t.records) > 1 {
-			return Admission{Wait: min(wait, early), InDoubt: true}
+		early := r.lastCrash().Add(maxReportDelay).Sub(now)
+		if r.class == poisonous && early > 0 && len(t.records) > 1 {
+			return Admission{Wait: min(wait, early), Ambiguous: true}
 		}
-		return Admission{Wait: wait, InDoubt: r.verdict == inDoubt}
+		return Admission{Wait: wait, Ambiguous: r.class == ambiguous}
 	}
-	step := trialStep + r.longestRun()
-	if turn := r.until().Add(time.Duration(rank(c)) * step); r.trial || now.Before(turn) {
-		return Admission{Wait: step, InDoubt: true}
+	step := trialInterval + r.longestRun()
+	if turn := r.blockedUntil().Add(time.Duration(rank(c)) * step); r.trialRunning || now.Before(turn) {
+		return Admission{Wait: step, Ambiguous: true}
 	}
-	r.trial = true
-	return Admission{Trial: true, Apart: true}
+	r.trialRunning = true
+	return Admission{Trial: true, Isolate: true}
 }
 
-// EndTrial notes that the trial of the content at this router is over.
+// EndTrial records that this router's trial of the content has ended.
 func (t *Table) EndTrial(c routing.Content) {
 	if r := t.records[c]; r != nil {
-		r.trial = false
+		r.trialRunning = false
 	}
 }
 
-// Count returns how many contents are blocked.
-func (t *Table) Count(now time.Time) int {
+// BlockedCount returns the number of contents that must not be sent at present.
+func (t *Table) BlockedCount(now time.Time) int {
 	n := 0
-	t.judge()
+	t.classify()
 	for _, r := range t.suspects {
-		if now.Before(r.until()) {
+		if now.Before(r.blockedUntil()) {
 			n++
 		}
 	}
 	return n
 }
 
-// Tick forgets what is old, and returns the contents that are newly blocked, since what explained
-// their crashes was forgotten. It draws from rng when this router is to write them into the store.
+// Tick removes expired entries and returns the contents that become blocked because the suspects
+// that explained their crashes have expired. rng spreads the times at which routers write them to
+// the store.
 func (t *Table) Tick(rng *rand.Rand, now time.Time) []routing.Content {
-	blocked := t.settle(now)
-	t.postponeWrites(blocked, rng, now)
+	blocked := t.updateBlocked(now)
+	t.deferWrites(blocked, rng, now)
 	for c, r := range t.records {
-		if now.Sub(r.last()) > forgetAfter {
+		if now.Sub(r.lastCrash()) > retention {
 			t.forget(c)
 		}
 	}
 	for server, at := range t.crashedAt {
-		if now.Sub(at) > forgetAfter {
+		if now.Sub(at) > retention {
 			delete(t.crashedAt, server)
 		}
 	}
-	t.order = slices.DeleteFunc(t.order, func(c routing.Content) bool { return t.records[c] == nil })
+	t.insertionOrder = slices.DeleteFunc(t.insertionOrder, func(c routing.Content) bool { return t.records[c] == nil })
 	return blocked
 }
 
-// changed notes that the crashes of a content have changed, or a complete response came.
-func (t *Table) changed(c routing.Content, r *record) {
-	r.counted = r.count()
-	_, was := t.suspects[c]
-	is := len(r.counted) >= suspectFrom
-	if is {
+// crashesChanged updates the derived state of a content after a new crash or complete response.
+func (t *Table) crashesChanged(c routing.Content, r *record) {
+	r.counted = r.countedCrashes()
+	_, wasSuspect := t.suspects[c]
+	isSuspect := len(r.counted) >= crashesToSuspect
+	if isSuspect {
 		t.suspects[c] = r
 	}
-	t.stale = t.stale || was || is
-	if is || !was {
+	t.classesStale = t.classesStale || wasSuspect || isSuspect
+	if isSuspect || !wasSuspect {
 		return
 	}
 	delete(t.suspects, c)
-	r.verdict = acquitted
-	if r.held {
-		t.lift(c, r)
+	r.class = belowThreshold
+	if r.wasBlocked {
+		t.unblock(c, r)
 	}
 }
 
-// settle looks which contents are blocked, and returns those that newly are. This router writes them
-// into the store at once, unless postponeWrites follows.
-func (t *Table) settle(now time.Time) (blocked []routing.Content) {
-	t.judge()
+// updateBlocked updates which contents are blocked and returns the newly blocked ones. This router
+// writes them to the store immediately unless deferWrites is called afterwards.
+func (t *Table) updateBlocked(now time.Time) (blocked []routing.Content) {
+	t.classify()
 	for c, r := range t.suspects {
-		switch held := r.blocked(now); {
-		case held && !r.held:
-			r.held = true
-			r.due = now
-			delete(t.lifted, c)
+		switch isBlocked := r.blocked(now); {
+		case isBlocked && !r.wasBlocked:
+			r.wasBlocked = true
+			r.storeAt = now
+			delete(t.unblocked, c)
 			blocked = append(blocked, c)
-		case !held && r.held:
-			t.lift(c, r)
+		case !isBlocked && r.wasBlocked:
+			t.unblock(c, r)
 		}
 	}
 	return blocked
 }
 
-// lift notes that a content is not blocked any more. The store is to forget it.
-func (t *Table) lift(c routing.Content, r *record) {
-	r.held = false
+// unblock records that a content is no longer blocked and schedules its removal from the store.
+func (t *Table) unblock(c routing.Content, r *record) {
+	r.wasBlocked = false
 	r.stored = false
-	t.lifted[c] = true
+	t.unblocked[c] = true
 }
 
-// forget drops a content.
+// forget removes a content from the table.
 func (t *Table) forget(c routing.Content) {
 	delete(t.records, c)
 	delete(t.suspects, c)
 	delete(t.dirty, c)
-	t.stale = true
+	t.classesStale = true
 }
 
-// get returns the content's record.
-func (t *Table) get(c routing.Content) *record {
+// recordFor returns the record of the content and creates it if necessary.
+func (t *Table) recordFor(c routing.Content) *record {
 	r := t.records[c]
 	if r == nil {
-		t.makeRoom()
+		t.evictIfFull()
 		r = &record{}
 		t.records[c] = r
-		t.order = append(t.order, c)
+		t.insertionOrder = append(t.insertionOrder, c)
 	}
 	return r
 }
 
-// makeRoom forgets the content that came first of those that are not blocked, if there is
-// no room.
-func (t *Table) makeRoom() {
-	for range most {
-		if len(t.records) < most {
+// evictIfFull evicts the oldest content that is not blocked if the table is full.
+func (t *Table) evictIfFull() {
+	for range maxContents {
+		if len(t.records) < maxContents {
 			return
 		}
-		c := t.order[0]
-		t.order = t.order[1:]
-		if r := t.records[c]; r != nil && r.held {
-			t.order = append(t.order, c)
+		c := t.insertionOrder[0]
+		t.insertionOrder = t.insertionOrder[1:]
+		if r := t.records[c]; r != nil && r.wasBlocked {
+			t.insertionOrder = append(t.insertionOrder, c)
 			continue
 		}
 		t.forget(c)
 	}
 }
 
-// add notes a crash and reports whether it is new. Each start of a server crashes once.
-func (t *Table) add(r *record, e Crash) bool {
+// addCrash adds a crash and reports whether it is new. Each start of a server crashes at most once.
+func (t *Table) addCrash(r *record, crash Crash) bool {
 	for _, known := range r.crashes {
-		if known.Server == e.Server {
+		if known.Server == crash.Server {
 			return false
 		}
 	}
-	if at, known := t.crashedAt[e.Server]; !known || e.At.Before(at) {
-		t.crashedAt[e.Server] = e.At
+	if at, known := t.crashedAt[crash.Server]; !known || crash.At.Before(at) {
+		t.crashedAt[crash.Server] = crash.At
 	}
-	at, _ := slices.BinarySearchFunc(r.crashes, e, func(a, b Crash) int { return a.At.Compare(b.At) })
-	r.crashes = slices.Insert(r.crashes, at, e)
-	if len(r.crashes) > crashesKept {
+	at, _ := slices.BinarySearchFunc(r.crashes, crash, func(a, b Crash) int { return a.At.Compare(b.At) })
+	r.crashes = slices.Insert(r.crashes, at, crash)
+	if len(r.crashes) > maxCrashesPerContent {
 		r.crashes = r.crashes[1:]
 	}
 	return true
 }
 
-// last is when the last server crashed; zero: none has.
-func (r *record) last() time.Time {
+// lastCrash returns the time of the latest crash, or the zero time if there is none.
+func (r *record) lastCrash() time.Time {
 	if len(r.crashes) == 0 {
 		return time.Time{}
 	}
 	return r.crashes[len(r.crashes)-1].At
 }
 
-// count returns the crashes since the last complete response that are at moments of their own. A start
-// that one router could confirm and another one could not is one.
-func (r *record) count() []Crash {
+// countedCrashes returns the crashes since the last complete response, with simultaneous ones
+// merged. A start that is confirmed by one router and unconfirmed by another counts once.
+func (r *record) countedCrashes() []Crash {
 	var counted []Crash
 	var last time.Time
-	for _, e := range r.crashes {
-		if !e.At.After(r.succeededAt) {
+	for _, crash := range r.crashes {
+		if !crash.At.After(r.succeededAt) {
 			continue
 		}
-		if len(counted) > 0 && e.Sent.Before(last) && near(e.At, last) || slices.ContainsFunc(counted, e.sameStart) {
+		if len(counted) > 0 && crash.Sent.Before(last) && coincident(crash.At, last) || slices.ContainsFunc(counted, crash.sameStart) {
 			continue
 		}
-		counted = append(counted, e)
-		last = e.At
+		counted = append(counted, crash)
+		last = crash.At
 	}
 	return counted
 }
 
-// blocked reports whether the content is blocked.
+// blocked reports whether the content is poisonous and its block has not expired.
 func (r *record) blocked(now time.Time) bool {
-	return r.verdict == convicted && now.Before(r.until())
+	return r.class == poisonous && now.Before(r.blockedUntil())
 }
 
-// near reports whether two crashes may be of one moment.
-func near(a, b time.Time) bool { return a.Sub(b).Abs() < sameMoment }
+// coincident reports whether two crash times are close enough to count as one event.
+func coincident(a, b time.Time) bool { return a.Sub(b).Abs() < coincidenceWindow }
--- a/internal/core/poison/property_test.go
+++ b/internal/core/poison/property_test.go
@@ -9,13 +9,13 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// Whatever happens in whichever order at two routers that report to each other.
-func TestAdmissionsKeepTheirPromises(t *testing.T) { rapid.Check(t, admissionsKeepTheirPromises) }
+// Checks the invariants of admission under random events at two routers that report to each other.
+func TestAdmissionInvariants(t *testing.T) { rapid.Check(t, checkAdmissionInvariants) }
 
-// FuzzAdmissions is the same, led by coverage.
-func FuzzAdmissions(f *testing.F) { f.Fuzz(rapid.MakeFuzz(admissionsKeepTheirPromises)) }
+// FuzzAdmissionInvariants is the coverage-guided variant.
+func FuzzAdmissionInvariants(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkAdmissionInvariants)) }
 
-func admissionsKeepTheirPromises(t *rapid.T) {
+func checkAdmissionInvariants(t *rapid.T) {
 	tables := [2]*Table{New(), New()}
 	trials := [2]map[routing.Content]bool{{}, {}}
 	now := start
@@ -29,12 +29,12 @@
 			ran := time.Duration(rapid.IntRange(0, 200).Draw(t, "ran")) * time.Millisecond
 			answered := time.Duration(rapid.IntRange(0, 2000).Draw(t, "answered")) * time.Millisecond
 			server := routing.ServerKey(rapid.IntRange(100, 103).Draw(t, "server"))
-			for _, c := range append(rapid.SliceOfN(content, 0, 3).Draw(t, "beside"), c) {
-				table.Crashed(c, Crash{Server: server, Sent: now.Add(-ran), At: now, Answered: now.Add(-answered), Accepted: rapid.Bool().Draw(t, "accepted")})
+			for _, c := range append(rapid.SliceOfN(content, 0, 3).Draw(t, "bystanders"), c) {
+				table.Crashed(c, Crash{Server: server, Sent: now.Add(-ran), At: now, LastAnswered: now.Add(-answered), Accepted: rapid.Bool().Draw(t, "accepted")})
 			}
 		case 2:
 			table.Succeeded(c, now)
-			checkFree(t, table, c, now)
+			checkNotDelayed(t, table, c, now)
 		case 3:
 			tables[1-at].Merge(table.TakeUpdates(now), rng(), now)
 		case 4:
@@ -47,28 +47,28 @@
 			table.EndTrial(c)
 		}
 		for c, r := range table.records {
-			if wait := table.Blocked(c, now); wait > BlockFor {
+			if wait := table.Blocked(c, now); wait > BlockDuration {
 				t.Fatalf("content %v: blocked for %v", c, wait)
 			}
-			if r.verdict == convicted && len(table.alone(r, r.counted)) < CrashesToBlock {
-				t.Fatalf("content %v is guilty of ends at each of which another suspect was", c)
+			if r.class == poisonous && len(table.withoutOtherSuspects(r, r.counted)) < CrashesToBlock {
+				t.Fatalf("content %v is classified as poisonous, but another suspect ran at its crashes", c)
 			}
-			if r.verdict != acquitted && len(r.counted) < CrashesToBlock {
-				t.Fatalf("content %v: judged by %d ends", c, len(r.counted))
+			if r.class != belowThreshold && len(r.counted) < CrashesToBlock {
+				t.Fatalf("content %v is not below the threshold with only %d crashes", c, len(r.counted))
 			}
 		}
 	}
 }
 
-// checkFree checks that what was answered is sent as before.
-func checkFree(t *rapid.T, table *Table, c routing.Content, now time.Time) {
+// checkNotDelayed checks that a content with a complete response is sent without delay.
+func checkNotDelayed(t *rapid.T, table *Table, c routing.Content, now time.Time) {
 	if a := table.Admit(c, rankOf(0), now); a.Wait > 0 || a.Trial {
-		t.Fatalf("content %v was answered: %+v", c, a)
+		t.Fatalf("content %v had a complete response but is not admitted freely: %+v", c, a)
 	}
 }
 
-// checkAdmission checks that a content in doubt is tried by one request at a time, and that all
-// others are told when to come back.
+// checkAdmission checks that at most one trial request of an ambiguous content runs at a time, and
+// that all others get a time to wait.
 func checkAdmission(t *rapid.T, table *Table, c routing.Content, trials map[routing.Content]bool, now time.Time) {
 	a := table.Admit(c, rankOf(0), now)
 	r := table.records[c]
@@ -76,7 +76,7 @@
 	switch {
 	case !judged:
 		if a.Wait > 0 || a.Trial {
-			t.Fatalf("content %v is held back for too few ends: %+v", c, a)
+			t.Fatalf("content %v is delayed after too few crashes: %+v", c, a)
 		}
 	case a.Trial == (a.Wait > 0):
 		t.Fatalf("content %v: %+v", c, a)
@@ -88,7 +88,7 @@
 			t.Fatalf("content %v is tried twice at a time", c)
 		}
 		trials[c] = true
-		if rapid.Bool().Draw(t, "over") {
+		if rapid.Bool().Draw(t, "end trial") {
 			table.EndTrial(c)
 			delete(trials, c)
 		}
--- a/internal/core/poison/report.go
+++ b/internal/core/poison/report.go
@@ -10,159 +10,164 @@
 )
 
 const (
-	// repeatFor is how long after its last crash a content that is not blocked is repeated to
-	// the others: one that heard nothing of the first crash learns it in time for the third.
-	repeatFor = 10 * time.Second
-	// repeatFrom is from how many crashes on a content is repeated. Of what crashed a server once, most
-	// is innocent: an engine crashes with some 40 requests.
-	repeatFrom = 2
-	// storeAfter is how long after a router has heard that a content is blocked it writes
-	// that into the store itself, to twice that, unless it hears that it is there: the router
-	// that knew it first may be gone.
-	storeAfter = 2 * time.Second
+	// repeatDuration is how long after its last crash a content that is not blocked is repeated to
+	// other routers. A router that missed the report of the first crash then learns of it in time
+	// for the third.
+	repeatDuration = 10 * time.Second
+	// crashesToRepeat is the number of crashes from which a content is repeated. Most contents with
+	// a single crash are harmless: an engine crashes with some 40 requests.
+	crashesToRepeat = 2
+	// storeWriteDelay is the minimum delay after which a router that only heard of a blocked content
+	// writes it to the store itself, in case the router that knew of it first is gone. The delay is
+	// random, up to twice this value, and the write is skipped if the content is reported as stored
+	// by then.
+	storeWriteDelay = 2 * time.Second
 )
 
-// Record is what routers tell each other of a content.
+// Record is the state of one content as exchanged between routers.
 type Record struct {
-	Content   routing.Content
-	Crashes   []CrashAge
-	Succeeded time.Duration // how long ago there was a complete response; 0: there was none
-	Stored    bool          // the store has it
+	Content      routing.Content
+	Crashes      []CrashAge
+	SucceededAge time.Duration // time since the last complete response; 0 if there was none
+	Stored       bool          // the store has this record
 }
 
-// CrashAge is a crash, told by ages.
+// CrashAge is a crash with relative instead of absolute times.
 type CrashAge struct {
 	Server routing.ServerKey
-	Ran    time.Duration // from the sending to the crash
-	Age    time.Duration // of the crash
+	Ran    time.Duration // from sending the request to the crash
+	Age    time.Duration // time since the crash
 }
 
-// record returns what is told of a content.
-func (r *record) record(c routing.Content, now time.Time) Record {
+// toRecord returns the exchangeable form of the record.
+func (r *record) toRecord(c routing.Content, now time.Time) Record {
 	out := Record{Content: c, Stored: r.stored}
 	if !r.succeededAt.IsZero() {
-		out.Succeeded = max(now.Sub(r.succeededAt), 1)
+		out.SucceededAge = max(now.Sub(r.succeededAt), 1)
 	}
-	for _, e := range r.crashes {
-		out.Crashes = append(out.Crashes, CrashAge{Server: e.Server, Ran: e.At.Sub(e.Sent), Age: now.Sub(e.At)})
+	for _, crash := range r.crashes {
+		out.Crashes = append(out.Crashes, CrashAge{Server: crash.Server, Ran: crash.At.Sub(crash.Sent), Age: now.Sub(crash.At)})
 	}
 	return out
 }
 
-// Merge takes what another router reports, or the store, and returns the contents that are
-// newly blocked. It draws from rng when this router is to write them into the store.
+// Merge merges records from another router or the store and returns the contents that become
+// blocked. rng spreads the times at which routers write them to the store.
 func (t *Table) Merge(records []Record, rng *rand.Rand, now time.Time) (blocked []routing.Content) {
-	for _, told := range records {
-		if len(told.Crashes) == 0 || told.Crashes[len(told.Crashes)-1].Age > forgetAfter {
+	for _, reported := range records {
+		if len(reported.Crashes) == 0 || reported.Crashes[len(reported.Crashes)-1].Age > retention {
 			continue
 		}
-		r := t.get(told.Content)
-		t.mergeRecord(r, told, now)
-		t.changed(told.Content, r)
+		r := t.recordFor(reported.Content)
+		t.mergeRecord(r, reported, now)
+		t.crashesChanged(reported.Content, r)
 	}
-	blocked = t.settle(now)
-	t.postponeWrites(blocked, rng, now)
+	blocked = t.updateBlocked(now)
+	t.deferWrites(blocked, rng, now)
 	return blocked
 }
 
-// postponeWrites has this router write newly blocked contents into the store later than those that
-// saw one of their crashes: any of these writes at once, since the router of the last crash may
-// have known of too few others.
-func (t *Table) postponeWrites(blocked []routing.Content, rng *rand.Rand, now time.Time) {
+// deferWrites delays this router's store writes of newly blocked contents, unless it observed one of
+// their crashes itself. Every router that did writes immediately, since the router of the last crash
+// may not have known enough of the earlier ones.
+func (t *Table) deferWrites(blocked []routing.Content, rng *rand.Rand, now time.Time) {
 	for _, c := range blocked {
-		if r := t.records[c]; !r.own {
-			r.due = storeDue(rng, now)
+		if r := t.records[c]; !r.sawCrash {
+			r.storeAt = fallbackWriteTime(rng, now)
 		}
 	}
 }
 
-// mergeRecord takes what was reported of a content.
-func (t *Table) mergeRecord(r *record, told Record, now time.Time) {
-	for _, e := range told.Crashes {
-		at := now.Add(-e.Age)
-		if first, known := t.crashedAt[e.Server]; known && first.Before(at) {
-			at = first // a report makes it later by its time on the way
+// mergeRecord merges a reported record of a content.
+func (t *Table) mergeRecord(r *record, reported Record, now time.Time) {
+	for _, crash := range reported.Crashes {
+		at := now.Add(-crash.Age)
+		if first, known := t.crashedAt[crash.Server]; known && first.Before(at) {
+			at = first // a report adds its transmission delay
 		}
-		t.add(r, Crash{Server: e.Server, Sent: at.Add(-e.Ran), At: at})
+		t.addCrash(r, Crash{Server: crash.Server, Sent: at.Add(-crash.Ran), At: at})
 	}
-	if told.Succeeded > 0 {
-		if at := now.Add(-told.Succeeded); at.Sub(r.succeededAt) > newer {
+	if reported.SucceededAge > 0 {
+		if at := now.Add(-reported.SucceededAge); at.Sub(r.succeededAt) > reportTimeTolerance {
 			r.succeededAt = at
 		}
 	}
-	r.stored = r.stored || told.Stored
+	r.stored = r.stored || reported.Stored
 }
 
-// TakeUpdates returns what the other routers don't know yet, once.
+// TakeUpdates returns the records that have not been reported to other routers yet and marks them as
+// reported.
 func (t *Table) TakeUpdates(now time.Time) []Record {
 	var list []Record
 	for c := range t.dirty {
-		list = append(list, t.records[c].record(c, now))
+		list = append(list, t.records[c].toRecord(c, now))
 	}
 	clear(t.dirty)
 	return list
 }
 
-// Repeat returns what is told again and again, that with the latest crash first, at most so
-// many: what is blocked, and what may be soon.
-func (t *Table) Repeat(most int, now time.Time) []Record {
+// RecordsToRepeat returns up to limit records that are sent repeatedly, latest crash first: blocked
+// contents and those that may soon be blocked.
+func (t *Table) RecordsToRepeat(limit int, now time.Time) []Record {
 	var list []Record
 	for c, r := range t.records {
-		if len(r.crashes) < repeatFrom || !now.Before(r.until()) && now.Sub(r.last()) > repeatFor {
+		if len(r.crashes) < crashesToRepeat || !now.Before(r.blockedUntil()) && now.Sub(r.lastCrash()) > repeatDuration {
 			continue
 		}
-		list = append(list, r.record(c, now))
+		list = append(list, r.toRecord(c, now))
 	}
 	slices.SortFunc(list, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(a.Crashes[len(a.Crashes)-1].Age, b.Crashes[len(b.Crashes)-1].Age), cmp.Compare(a.Content, b.Content))
 	})
-	return list[:min(len(list), most)]
+	return list[:min(len(list), limit)]
 }
 
-// ToStore returns what this router is to write into the store, and what it is to remove
-// there if it does so for the rest of the fleet.
-func (t *Table) ToStore(now time.Time) (write []Record, remove []routing.Content) {
+// StoreChanges returns the records that this router should write to the store, and the contents to
+// remove from it, which applies only if this router removes entries on behalf of the fleet.
+func (t *Table) StoreChanges(now time.Time) (write []Record, remove []routing.Content) {
 	for c, r := range t.records {
-		if r.held && !r.stored && !now.Before(r.due) {
-			write = append(write, r.record(c, now))
+		if r.wasBlocked && !r.stored && !now.Before(r.storeAt) {
+			write = append(write, r.toRecord(c, now))
 		}
 	}
-	for c := range t.lifted {
+	for c := range t.unblocked {
 		remove = append(remove, c)
 	}
 	return write, remove
 }
 
-// Unstored notes that the store has lost what was written lately: what is blocked is written
-// again, by the router that comes first.
-func (t *Table) Unstored(rng *rand.Rand, now time.Time) {
+// MarkAllUnstored records that the store has lost recent writes. Blocked contents are written again
+// by whichever router is first.
+func (t *Table) MarkAllUnstored(rng *rand.Rand, now time.Time) {
 	for _, r := range t.records {
 		r.stored = false
-		r.due = storeDue(rng, now)
+		r.storeAt = fallbackWriteTime(rng, now)
 	}
 }
 
-// Unstored takes from what another router told that the store has it.
-func Unstored(told []Record) {
-	for i := range told {
-		told[i].Stored = false
+// ClearStored clears the Stored flag of records received from another router.
+func ClearStored(reported []Record) {
+	for i := range reported {
+		reported[i].Stored = false
 	}
 }
 
-// storeDue is when a router that did not learn first of a blocked content writes it.
-func storeDue(rng *rand.Rand, now time.Time) time.Time {
-	return now.Add(storeAfter + time.Duration(rng.Int64N(int64(storeAfter))))
+// fallbackWriteTime returns when a router that was not the first to detect a blocked content writes
+// it to the store.
+func fallbackWriteTime(rng *rand.Rand, now time.Time) time.Time {
+	return now.Add(storeWriteDelay + time.Duration(rng.Int64N(int64(storeWriteDelay))))
 }
 
-// Stored notes that the store has the ones and has forgotten the others.
-func (t *Table) Stored(written []Record, removed []routing.Content) {
-	for _, told := range written {
-		if r := t.records[told.Content]; r != nil {
+// MarkStored records that the store now has the written records and no longer has the removed
+// contents.
+func (t *Table) MarkStored(written []Record, removed []routing.Content) {
+	for _, reported := range written {
+		if r := t.records[reported.Content]; r != nil {
 			r.stored = true
-			t.dirty[told.Content] = true
+			t.dirty[reported.Content] = true
 		}
 	}
 	for _, c := range removed {
-		delete(t.lifted, c)
+		delete(t.unblocked, c)
 	}
 }
--- a/internal/core/poison/start.go
+++ b/internal/core/poison/start.go
@@ -7,29 +7,30 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// startsFollowed bounds the starts of a server that are told apart while the platform's list says
-// nothing new of it.
-const startsFollowed = 8
+// maxFollowedStarts bounds the number of starts of one server that are distinguished while the
+// platform's list shows no new start.
+const maxFollowedStarts = 8
 
-// startOf names the start of a server that crashed. While the platform's list says nothing new, a server
-// that has started again goes by the name that it had. It is another start if the request was
-// sent after the known crash and the server has answered since. If it has only taken the request's
-// connection, the start is an unconfirmed one: something before the server may have done so.
-func (t *Table) startOf(e Crash) routing.ServerKey {
-	key := e.Server
-	if !t.crashedBefore(key, e.Sent) {
+// startKey returns the key of the server start that crashed. While the platform's list is not
+// updated, a restarted server keeps its previous key. The crash belongs to a new start if the
+// request was sent after the known crash and the server has answered since then. If the server has
+// merely accepted the connection of the request, the new start is unconfirmed: something in front of
+// the server may have accepted it.
+func (t *Table) startKey(crash Crash) routing.ServerKey {
+	key := crash.Server
+	if !t.crashedBefore(key, crash.Sent) {
 		return key
 	}
-	for range startsFollowed {
-		next, known := t.knownNext(key)
+	for range maxFollowedStarts {
+		next, known := t.nextCrashedStart(key)
 		switch {
-		case known && t.crashedBefore(next, e.Sent):
+		case known && t.crashedBefore(next, crash.Sent):
 			key = next
 		case known:
 			return next
-		case e.Answered.Sub(t.crashedAt[key]) >= sameMoment:
+		case crash.LastAnswered.Sub(t.crashedAt[key]) >= coincidenceWindow:
 			return key.NextStart()
-		case e.Accepted && e.Sent.Sub(t.crashedAt[key]) >= sameMoment:
+		case crash.Accepted && crash.Sent.Sub(t.crashedAt[key]) >= coincidenceWindow:
 			return key.UnconfirmedStart()
 		default:
 			return key
@@ -38,15 +39,15 @@
 	return key
 }
 
-// crashedBefore reports whether the server's start is known to have crashed before.
+// crashedBefore reports whether the server start is known to have crashed before the given time.
 func (t *Table) crashedBefore(key routing.ServerKey, before time.Time) bool {
 	at, known := t.crashedAt[key]
 	return known && before.After(at)
 }
 
-// knownNext returns the start after the one, if it is known to have crashed: the later of two if routers
-// disagree about it.
-func (t *Table) knownNext(key routing.ServerKey) (next routing.ServerKey, known bool) {
+// nextCrashedStart returns the start that follows the given one if it is known to have crashed. If
+// routers disagree whether that start is confirmed, it returns the one with the later crash.
+func (t *Table) nextCrashedStart(key routing.ServerKey) (next routing.ServerKey, known bool) {
 	next, other := key.NextStart(), key.UnconfirmedStart()
 	at, known := t.crashedAt[next]
 	if otherAt, otherKnown := t.crashedAt[other]; otherKnown && (!known || otherAt.After(at)) {
@@ -55,29 +56,29 @@
 	return next, known
 }
 
-// confirmedCrashes returns those of the content's crashes whose start is confirmed, by what any
-// router has seen of the server.
+// confirmedCrashes returns the counted crashes of the content whose server start has been confirmed
+// by any router.
 func (t *Table) confirmedCrashes(r *record) (list []Crash) {
-	for _, e := range r.counted {
-		at, known := t.crashedAt[e.Server.Confirmed()]
-		elsewhere := known && near(e.At, at)
-		after := func(first Crash) bool { return unconfirmedAfter(first.Server, e.Server) }
+	for _, crash := range r.counted {
+		at, known := t.crashedAt[crash.Server.Confirmed()]
+		elsewhere := known && coincident(crash.At, at)
+		after := func(first Crash) bool { return unconfirmedAfter(first.Server, crash.Server) }
 		if elsewhere || !slices.ContainsFunc(r.crashes, after) {
-			list = append(list, e)
+			list = append(list, crash)
 		}
 	}
 	return list
 }
 
-// sameStart reports whether both are the same crash, of a start that goes by its confirmed name in one and
-// by its unconfirmed one in the other.
-func (e Crash) sameStart(o Crash) bool {
-	return (e.Server.Confirmed() == o.Server || o.Server.Confirmed() == e.Server) && near(e.At, o.At)
+// sameStart reports whether both values describe the same crash, identified by the confirmed key of
+// the start in one and by its unconfirmed key in the other.
+func (crash Crash) sameStart(other Crash) bool {
+	return (crash.Server.Confirmed() == other.Server || other.Server.Confirmed() == crash.Server) && coincident(crash.At, other.At)
 }
 
-// unconfirmedAfter reports whether the key is that of an unconfirmed start after the first one.
+// unconfirmedAfter reports whether key identifies an unconfirmed start that follows first.
 func unconfirmedAfter(first, key routing.ServerKey) bool {
-	for range startsFollowed {
+	for range maxFollowedStarts {
 		if first = first.UnconfirmedStart(); first == key {
 			return true
 		}
--- a/internal/edge/front/poison.go
+++ b/internal/edge/front/poison.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	a := q.h.State.AdmitContent(q.asks())
-	q.apart, q.trial = a.Apart, a.Trial
+	q.apart, q.trial = a.Isolate, a.Trial
 	if a.Trial {
 		q.log(slog.LevelInfo, events.ContentTried, "content", q.asks().String())
 	}
@@ -28,7 +28,7 @@
 		return nil
 	}
 	reason := "servers end when they run this request"
-	if a.InDoubt {
+	if a.Ambiguous {
 		reason = "servers may end when they run this request"
 	}
 	return &Refusal{
@@ -60,7 +60,7 @@
 	if change.Crashes > 1 {
 		q.log(slog.LevelInfo, events.ServerEnded, "server", x.server.ID, "content", q.asks().String(), "ends", change.Crashes)
 	}
-	if change.Doubted {
+	if change.Ambiguous {
 		q.log(slog.LevelWarn, events.ContentDoubted, "content", q.asks().String(), "ends", change.Crashes)
 	}
 	if change.Blocked {
--- a/internal/edge/peers/crashes.go
+++ b/internal/edge/peers/crashes.go
@@ -33,8 +33,8 @@
 	var list []contentCrashes
 	for _, r := range records[:min(len(records), crashesMost)] {
 		w := contentCrashes{Content: r.Content, Stored: r.Stored}
-		if r.Succeeded > 0 {
-			w.WorkedMs = r.Succeeded.Milliseconds() + 1
+		if r.SucceededAge > 0 {
+			w.WorkedMs = r.SucceededAge.Milliseconds() + 1
 		}
 		for _, e := range r.Crashes {
 			w.Ends = append(w.Ends, serverCrash{Server: e.Server, RanMs: e.Ran.Milliseconds(), AgeMs: e.Age.Milliseconds()})
@@ -50,7 +50,7 @@
 	for _, w := range list {
 		r := poison.Record{Content: w.Content, Stored: w.Stored}
 		if w.WorkedMs > 0 {
-			r.Succeeded = time.Duration(w.WorkedMs)*time.Millisecond + waited
+			r.SucceededAge = time.Duration(w.WorkedMs)*time.Millisecond + waited
 		}
 		for _, e := range w.Ends {
 			r.Crashes = append(r.Crashes, poison.CrashAge{
--- a/internal/edge/peers/receive.go
+++ b/internal/edge/peers/receive.go
@@ -210,7 +210,7 @@
 		p.State.HeardFirsts(r.Firsts)
 	}
 	if w.Era < p.State.Era() {
-		poison.Unstored(r.Crashes) // the store may have lost them since
+		poison.ClearStored(r.Crashes) // the store may have lost them since
 	}
 	p.takeCrashes(w.Control, r.Crashes)
 	if len(w.Evidence)+len(w.EvidenceFar) > 0 {
--- a/internal/edge/state/poison.go
+++ b/internal/edge/state/poison.go
@@ -36,7 +36,7 @@
 func (s *State) Crashed(c routing.Content, server routing.Identity, sent time.Time, accepted bool) poison.Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := poison.Crash{Server: server.Key(), Sent: sent, At: s.now(), Answered: s.picker.Answered(server), Accepted: accepted}
+	e := poison.Crash{Server: server.Key(), Sent: sent, At: s.now(), LastAnswered: s.picker.Answered(server), Accepted: accepted}
 	change := s.poison.Crashed(c, e)
 	s.askStore = true
 	return change
@@ -69,7 +69,7 @@
 func (s *State) BlockedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.poison.Count(s.now())
+	return s.poison.BlockedCount(s.now())
 }
 
 // MergeCrashes takes what another router or the store tells of contents, and returns those
@@ -84,7 +84,7 @@
 func (s *State) RepeatCrashes() []poison.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.poison.Repeat(repeatMost, s.now())
+	return s.poison.RecordsToRepeat(repeatMost, s.now())
 }
 
 // CrashesToStore returns the contents that this router is to write into the store, and those
@@ -92,14 +92,14 @@
 func (s *State) CrashesToStore() (write []poison.Record, remove []routing.Content) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.poison.ToStore(s.now())
+	return s.poison.StoreChanges(s.now())
 }
 
 // CrashesStored notes that the store has the ones and has forgotten the others.
 func (s *State) CrashesStored(written []poison.Record, removed []routing.Content) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.poison.Stored(written, removed)
+	s.poison.MarkStored(written, removed)
 }
 
 // CrashesRead notes that the store's list of blocked contents was read, by this router or by
--- a/internal/edge/state/servers.go
+++ b/internal/edge/state/servers.go
@@ -147,7 +147,7 @@
 	}
 	now := s.now()
 	s.roster.Returned(now)
-	s.poison.Unstored(s.rng, now)
+	s.poison.MarkAllUnstored(s.rng, now)
 	return before, true
 }
 
