--- a/internal/core/pick/index.go
+++ b/internal/core/pick/index.go
@@ -188,8 +188,8 @@
 	}
 	s.unlisted = false
 	group := p.groups.Group(entry.Service, entry.Version)
-	s.list = listName(entry.Service, group == rollout.New)
-	s.takes = entry.Takes() && !p.evacuated[entry.DataCentre] && !p.isLeaving(entry.Identity()) && group != rollout.None
+	s.list = listName(entry.Service, group == rollout.GroupCanary)
+	s.takes = entry.Takes() && !p.evacuated[entry.DataCentre] && !p.isLeaving(entry.Identity()) && group != rollout.GroupExcluded
 	s.region = p.regions[entry.DataCentre]
 	p.describe(s)
 	p.readWarmup(s, before, now)
--- a/internal/core/poison/poison_test.go
+++ b/internal/core/poison/poison_test.go
@@ -339,12 +339,12 @@
 // server or a crash time, three crashes are enough.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		colocated := rapid.Bool().Draw(t, "colocated")
+		colocated := rapid.Bool().Draw(t, "together")
 		var reported []Record
 		crashTimes := map[routing.Content]map[int]bool{}
-		for range rapid.IntRange(0, 12).Draw(t, "crashes") {
+		for range rapid.IntRange(0, 12).Draw(t, "ends") {
 			c := routing.Content(rapid.IntRange(1, 3).Draw(t, "content"))
-			second := rapid.IntRange(0, 4).Draw(t, "second")
+			second := rapid.IntRange(0, 4).Draw(t, "moment")
 			if crashTimes[c] == nil {
 				crashTimes[c] = map[int]bool{}
 			}
--- a/internal/core/poison/property_test.go
+++ b/internal/core/poison/property_test.go
@@ -29,7 +29,7 @@
 			ran := time.Duration(rapid.IntRange(0, 200).Draw(t, "ran")) * time.Millisecond
 			answered := time.Duration(rapid.IntRange(0, 2000).Draw(t, "answered")) * time.Millisecond
 			server := routing.ServerKey(rapid.IntRange(100, 103).Draw(t, "server"))
-			for _, c := range append(rapid.SliceOfN(content, 0, 3).Draw(t, "bystanders"), c) {
+			for _, c := range append(rapid.SliceOfN(content, 0, 3).Draw(t, "beside"), c) {
 				table.Crashed(c, Crash{Server: server, Sent: now.Add(-ran), At: now, LastAnswered: now.Add(-answered), Accepted: rapid.Bool().Draw(t, "accepted")})
 			}
 		case 2:
@@ -88,7 +88,7 @@
 			t.Fatalf("content %v is tried twice at a time", c)
 		}
 		trials[c] = true
-		if rapid.Bool().Draw(t, "end trial") {
+		if rapid.Bool().Draw(t, "over") {
 			table.EndTrial(c)
 			delete(trials, c)
 		}
--- a/internal/core/rollout/decide.go
+++ b/internal/core/rollout/decide.go
@@ -7,90 +7,92 @@
 )
 
 const (
-	// warmUp is how long the new version gets the first, smaller part of the requests, and
-	// firstPart that part of the whole one.
-	warmUp    = 2 * time.Second
-	firstPart = 0.4
-	// switchFor is how long before its deadline a roll-out switches at the latest: all routers
-	// have to hear of it, and what runs at the old servers has to end. switchMost bounds it by the
-	// order's duration, since a version that turns bad then is seen by all requests.
-	switchFor  = 5 * time.Second
-	switchMost = 0.25
-	// heardBy is how long after the switch all routers in touch send nothing to the old servers.
-	heardBy = freshFor + time.Second
-	// idleFor is how long nothing may have run at the old servers before they may stop.
-	idleFor = 500 * time.Millisecond
-	// windowFor is over what time answers are compared besides over the whole roll-out: what
-	// turns bad late shows among few answers.
-	windowFor = 4 * time.Second
-	// deciders is how many routers may compare windows of their own.
-	deciders = 8
+	// initialStage is the duration of the first stage, in which the new version gets only
+	// initialFraction of its share.
+	initialStage    = 2 * time.Second
+	initialFraction = 0.4
+	// maxSwitchLead is how long before its deadline a roll-out switches at the latest: every router
+	// has to learn of it, and requests at the old servers have to finish. maxSwitchFraction limits
+	// that lead to a fraction of the order's duration, because after the switch all requests are
+	// exposed to a version that turns bad.
+	maxSwitchLead     = 5 * time.Second
+	maxSwitchFraction = 0.25
+	// propagationTime is how long after the switch every connected router has stopped sending
+	// requests to the old servers.
+	propagationTime = confirmationTTL + time.Second
+	// requiredIdleTime is how long the old servers must have been idle before they may stop.
+	requiredIdleTime = 500 * time.Millisecond
+	// windowLength is the length of the windows over which answers are compared, in addition to the
+	// whole roll-out: a version that turns bad late shows among fewer answers.
+	windowLength = 4 * time.Second
+	// maxDeciders is the number of routers that may compare windows of their own.
+	maxDeciders = 8
 )
 
-// Bounds are what a bad version may get.
+// Bounds limit the exposure to a bad version.
 type Bounds struct {
-	Share float64 // of the requests that reach its service between the order and its deadline
-	Slack float64 // requests beside that
+	Share float64 // share of the service's requests between the order and its deadline
+	Slack float64 // number of requests allowed beyond that share
 }
 
-// partOfShare is how much of what a bad version may get a new one gets: what is drawn at random
-// differs, and so does what is asked while the order lasts.
-const partOfShare = 0.8
+// shareSafetyFactor scales the share that a new version gets below the share that a bad one may get,
+// because the random assignment and the request rate vary while the order lasts.
+const shareSafetyFactor = 0.8
 
-// Part returns which part of the requests go to the new version so long after the order, less at
-// first.
-func (b Bounds) Part(since time.Duration) float64 {
-	part := b.Share * partOfShare
-	if since < warmUp {
-		return part * firstPart
+// CanaryShare returns the share of requests that go to the new version at the given time since the
+// order.
+func (b Bounds) CanaryShare(since time.Duration) float64 {
+	share := b.Share * shareSafetyFactor
+	if since < initialStage {
+		return share * initialFraction
 	}
-	return part
+	return share
 }
 
-// Input is what a decision rests on.
+// Input is the input of a decision.
 type Input struct {
-	Now time.Duration // by the store's clock
-	// Total is all that was seen of the roll-out.
+	Now time.Duration // current time by the store's clock
+	// Total is the evidence of the whole roll-out.
 	Total Evidence
-	// Old is how many requests run at servers of other versions, and Servers how many servers of
-	// the new version take requests.
-	Old, Servers int
+	// OldRequests is the number of requests running at servers of other versions, NewServers the
+	// number of servers of the new version that take requests.
+	OldRequests, NewServers int
 }
 
-// Decider is the duty of one router for one roll-out: it knows when to go on. It holds nothing that
-// another one lacks but for times, so that the duty passes without a word.
+// Decider decides on the progress of one roll-out at one router. Apart from times it has no state
+// that other routers lack, so the duty needs no handover.
 type Decider struct {
-	Bounds   Bounds
-	window   Evidence // at the window's begin
-	windowAt time.Duration
-	switched time.Duration // when the switch was seen first; zero: it was not
-	idle     time.Duration // since when nothing runs at the old servers; zero: something does
+	Bounds      Bounds
+	windowStart Evidence // evidence at the start of the window
+	windowAt    time.Duration
+	switchedAt  time.Duration // when the switch was first seen; zero if not yet
+	idleSince   time.Duration // since when the old servers have been idle; zero if they are busy
 }
 
-// Next returns the record that is to follow, and whether there is one.
+// Next returns the next record and whether there is one.
 func (d *Decider) Next(r Record, in Input) (Record, bool) {
-	next := func(p Phase, why string) (Record, bool) {
+	next := func(p Phase, reason string) (Record, bool) {
 		r.Phase = p
-		r.Why = why
+		r.Reason = reason
 		return r, true
 	}
-	deadline := r.Began + r.Order.Duration
+	deadline := r.StartedAt + r.Order.Duration
 	switch r.Phase {
 	case Ordered:
-		if r.Began == 0 {
-			r.Began = in.Now
+		if r.StartedAt == 0 {
+			r.StartedAt = in.Now
 		}
 		return next(Canary, "ordered")
 	case Canary:
-		if f := d.judge(r, in); f.Verdict == Bad {
+		if f := d.evaluate(r, in); f.Verdict == Bad {
 			return next(Halted, f.String())
 		}
 		if in.Now < deadline-switchBefore(r.Order) {
 			return r, false
 		}
-		f := Judge(in.Total, d.Bounds.Part(warmUp), totalChance)
+		f := Evaluate(in.Total, d.Bounds.CanaryShare(initialStage), overallProbability)
 		switch {
-		case in.Servers == 0:
+		case in.NewServers == 0:
 			return next(Halted, "no server runs the version")
 		case f.Verdict == Good:
 			return next(Switching, f.String())
@@ -98,7 +100,7 @@
 			return next(Halted, f.String())
 		}
 	case Halted:
-		return next(RolledBack, r.Why)
+		return next(RolledBack, r.Reason)
 	case Switching:
 		return d.finish(r, in, next)
 	case RolledBack, Completed:
@@ -106,57 +108,58 @@
 	return r, false
 }
 
-// finish decides while all requests go to the new version.
+// finish decides on the next record while all requests go to the new version.
 func (d *Decider) finish(r Record, in Input, next func(Phase, string) (Record, bool)) (Record, bool) {
-	if d.switched == 0 {
-		d.switched = in.Now
+	if d.switchedAt == 0 {
+		d.switchedAt = in.Now
 	}
-	if f := d.judge(r, in); f.Verdict == Bad {
+	if f := d.evaluate(r, in); f.Verdict == Bad {
 		return next(Halted, f.String())
 	}
 	switch {
-	case in.Old > 0:
-		d.idle = 0
-	case d.idle == 0:
-		d.idle = in.Now
+	case in.OldRequests > 0:
+		d.idleSince = 0
+	case d.idleSince == 0:
+		d.idleSince = in.Now
 	}
-	if in.Now-d.switched < heardBy || d.idle == 0 || in.Now-d.idle < idleFor {
+	if in.Now-d.switchedAt < propagationTime || d.idleSince == 0 || in.Now-d.idleSince < requiredIdleTime {
 		return r, false
 	}
-	return next(Completed, r.Why)
+	return next(Completed, r.Reason)
 }
 
-// switchBefore is how long before its deadline a roll-out switches.
+// switchBefore returns how long before its deadline a roll-out switches.
 func switchBefore(o Order) time.Duration {
-	return min(switchFor, time.Duration(float64(o.Duration)*switchMost))
+	return min(maxSwitchLead, time.Duration(float64(o.Duration)*maxSwitchFraction))
 }
 
-// judge compares the versions over the whole roll-out and over the last moments. What is seen of
-// the new version after the switch is compared with all that was seen of the old one before, by its
-// failures alone: more requests make any version slower.
-func (d *Decider) judge(r Record, in Input) Finding {
-	part := d.Bounds.Part(warmUp)
-	if f := Judge(in.Total, part, totalChance); f.Verdict == Bad {
+// evaluate compares the versions over the whole roll-out and over the current window. After the
+// switch, the new version's window is compared with all answers of the old version before the
+// switch, and only by failures, since a higher request rate slows any version down.
+func (d *Decider) evaluate(r Record, in Input) Finding {
+	share := d.Bounds.CanaryShare(initialStage)
+	if f := Evaluate(in.Total, share, overallProbability); f.Verdict == Bad {
 		return f
 	}
-	window := d.window
-	if window == nil || in.Now-d.windowAt >= windowFor {
-		d.window, d.windowAt = clone(in.Total), in.Now
+	windowStart := d.windowStart
+	if windowStart == nil || in.Now-d.windowAt >= windowLength {
+		d.windowStart, d.windowAt = clone(in.Total), in.Now
 	}
-	if window == nil {
+	if windowStart == nil {
 		return Finding{}
 	}
-	return Judge(in.Total.since(window, d.switched > 0), part, windowChance(in.Now-r.Began))
+	return Evaluate(in.Total.sinceSnapshot(windowStart, d.switchedAt > 0), share, windowProbability(in.Now-r.StartedAt))
 }
 
-// totalChance is the part of falseAlarm for comparisons over the whole roll-out.
-const totalChance = falseAlarm / 2
+// overallProbability is the part of falseAlarmProbability for comparisons over the whole roll-out.
+const overallProbability = falseAlarmProbability / 2
 
-// windowChance returns that of one window, so long after the roll-out's begin: with the window's
-// number squared, so that the sum over any number of windows is bounded.
-func windowChance(since time.Duration) float64 {
-	number := 1 + math.Floor(max(since, 0).Seconds()/windowFor.Seconds())
-	return (falseAlarm - totalChance) / deciders * 6 / (math.Pi * math.Pi * number * number)
+// windowProbability returns the part for one window, at the given time since the start of the
+// roll-out. It decreases with the square of the window's number, so that the sum over any number of
+// windows is bounded.
+func windowProbability(since time.Duration) float64 {
+	number := 1 + math.Floor(max(since, 0).Seconds()/windowLength.Seconds())
+	return (falseAlarmProbability - overallProbability) / maxDeciders * 6 / (math.Pi * math.Pi * number * number)
 }
 
 func clone(e Evidence) Evidence {
@@ -167,9 +170,9 @@
 	return c
 }
 
-// since returns what was seen since before. Once an old version gets no requests any more, all that it
-// answered on the route counts, but not how fast.
-func (e Evidence) since(before Evidence, switched bool) Evidence {
+// sinceSnapshot returns the evidence added after the snapshot. Once the old version gets no more
+// requests, its sample on a route consists of all its answers, without their latencies.
+func (e Evidence) sinceSnapshot(before Evidence, switched bool) Evidence {
 	since := Evidence{}
 	for key, all := range e {
 		b, s := before[key], all
@@ -187,10 +190,10 @@
 	return since
 }
 
-// String says what decided, for operators.
+// String describes the finding for operators.
 func (f Finding) String() string {
-	if f.Sign == "" {
+	if f.Metric == "" {
 		return f.Verdict.String()
 	}
-	return fmt.Sprintf("%s: %s on route %q, new %.0f of %.0f, old %.0f of %.0f", f.Verdict, f.Sign, f.Route, f.New, f.OfNew, f.Old, f.OfOld)
+	return fmt.Sprintf("%s: %s on route %q, new %.0f of %.0f, old %.0f of %.0f", f.Verdict, f.Metric, f.Route, f.New, f.NewTotal, f.Old, f.OldTotal)
 }
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -1,14 +1,14 @@
-// Package rollout moves a service's traffic to a new version of its servers, as the operator
-// ordered, and back if the version is bad. A small part of the requests goes to the new version
-// first; what its servers answer is compared with what the old ones do, on the same routes at the
-// same time; in the end all requests go there, and the old servers may stop.
+// Package rollout moves a service's traffic to a new version of its servers on the operator's order,
+// and back if the version is bad. A small share of the requests goes to the new version first, and
+// its answers are compared with those of the old version on the same routes over the same time.
+// Finally all requests go to the new version, and the old servers may stop.
 //
-// Nobody is elected. Any router with the duty may write the next phase into the platform's store,
-// under the condition that nobody else has: phases only rise, and the last ones never change. All
-// others hear of phases from other routers. The new version gets requests only from a router that
-// has heard lately that it may: one that is cut off, frozen or has just started sends it none.
+// There is no leader election. Any router on duty may write the next phase to the platform's store,
+// with a conditional write: phases only advance, and final phases never change. The other routers
+// learn of phases from each other. A router sends requests to the new version only while it has a
+// recent confirmation that it may: one that is partitioned, frozen or just started sends none.
 //
-// The package has no input or output; time comes in as an argument.
+// The package performs no I/O; time is passed in as an argument.
 package rollout
 
 import (
@@ -20,13 +20,13 @@
 )
 
 const (
-	// freshFor is how long a router believes that the new version may get requests without hearing
-	// so again.
-	freshFor = 3 * time.Second
-	// ordersMost bounds the services whose roll-outs are kept.
-	ordersMost = 64
-	// DurationMost bounds what an order may take.
-	DurationMost = 24 * time.Hour
+	// confirmationTTL is how long a router may send requests to the new version after the last
+	// confirmation.
+	confirmationTTL = 3 * time.Second
+	// maxOrders bounds the number of services whose roll-outs are kept.
+	maxOrders = 64
+	// MaxDuration bounds the duration of an order.
+	MaxDuration = 24 * time.Hour
 )
 
 // Order is the operator's order to move the traffic of a service to a version of its servers.
@@ -34,60 +34,60 @@
 	Service  string
 	To       string // the version
 	Duration time.Duration
-	// As is the store's version and era at which the order was written.
-	As roster.Stamp
+	// Stamp is the version and era of the store at which the order was written.
+	Stamp roster.Stamp
 }
 
-// Same reports whether the orders ask for the same.
-func (o Order) Same(other Order) bool {
+// Equivalent reports whether both orders request the same roll-out.
+func (o Order) Equivalent(other Order) bool {
 	return o.Service == other.Service && o.To == other.To && o.Duration == other.Duration
 }
 
-// After reports whether the order is a later one than the other. One that asks for the same and was
-// written in a later era of the store is the same one, written again after the store's return.
-func (o Order) After(other Order) bool {
-	if o.Same(other) && o.As.Era > other.As.Era {
+// NewerThan reports whether the order was written after the other one. An equivalent order from a
+// later era of the store is the same order, written again after the store was restored.
+func (o Order) NewerThan(other Order) bool {
+	if o.Equivalent(other) && o.Stamp.Era > other.Stamp.Era {
 		return false
 	}
-	return o.As.After(other.As)
+	return o.Stamp.After(other.Stamp)
 }
 
-// Fault is what is wrong with an order.
-type Fault string
+// OrderError describes an invalid order.
+type OrderError string
 
 // Error implements error.
-func (f Fault) Error() string { return string(f) }
+func (f OrderError) Error() string { return string(f) }
 
-// The faults of an order.
+// The errors of an order.
 const (
-	FaultService  Fault = "no service is named"
-	FaultVersion  Fault = "no version is named"
-	FaultDuration Fault = "the duration is not between 0 and a day"
+	ErrNoService OrderError = "no service is named"
+	ErrNoVersion OrderError = "no version is named"
+	ErrDuration  OrderError = "the duration is not between 0 and a day"
 )
 
-// Check returns what is wrong with the order.
+// Check validates the order.
 func (o Order) Check() error {
 	switch {
 	case o.Service == "":
-		return FaultService
+		return ErrNoService
 	case o.To == "":
-		return FaultVersion
-	case o.Duration <= 0 || o.Duration > DurationMost:
-		return FaultDuration
+		return ErrNoVersion
+	case o.Duration <= 0 || o.Duration > MaxDuration:
+		return ErrDuration
 	}
 	return nil
 }
 
-// Phase is how far a roll-out is. Phases only rise; RolledBack and Completed are final, and of both
-// the one that the store has first counts.
+// Phase is the progress of a roll-out. Phases only advance; RolledBack and Completed are final, and
+// whichever of them the store records first stands.
 type Phase int
 
 // The phases.
 const (
-	Ordered   Phase = iota // nothing goes to the new version yet
-	Canary                 // a part of the requests does
-	Halted                 // none do any more: it is to be rolled back
-	Switching              // all new requests do; those at the old servers end
+	Ordered   Phase = iota // no requests go to the new version yet
+	Canary                 // a share of the requests goes to it
+	Halted                 // no more requests go to it; it is to be rolled back
+	Switching              // all new requests go to it; those at the old servers finish
 	RolledBack
 	Completed
 )
@@ -97,94 +97,94 @@
 // String returns the phase's name.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Final reports whether the phase is the last one.
+// Final reports whether the phase never changes.
 func (p Phase) Final() bool { return p >= RolledBack }
 
-// Record is what is known of the roll-out of an order. It is what the store keeps.
+// Record is the state of the roll-out of an order, as kept in the store.
 type Record struct {
 	Order Order
 	Phase Phase
-	// Began is when the order was first seen, by the store's clock; zero: not recorded yet.
-	Began time.Duration
-	// Why says what decided on the phase, for operators.
-	Why string
+	// StartedAt is when the order was first seen, by the store's clock; zero if not recorded yet.
+	StartedAt time.Duration
+	// Reason tells operators what led to the phase.
+	Reason string
 }
 
-// Later reports whether the record goes before the other one.
-func (r Record) Later(o Record) bool {
-	if r.Order.After(o.Order) || o.Order.After(r.Order) {
-		return r.Order.After(o.Order)
+// Supersedes reports whether the record takes precedence over the other one.
+func (r Record) Supersedes(other Record) bool {
+	if r.Order.NewerThan(other.Order) || other.Order.NewerThan(r.Order) {
+		return r.Order.NewerThan(other.Order)
 	}
-	if r.Phase.Final() && o.Phase.Final() {
-		return false // the first one stays
+	if r.Phase.Final() && other.Phase.Final() {
+		return false // the first one stands
 	}
-	// Of one that is to be rolled back and one that goes on to switch, stopping is the safe side.
-	if r.Phase == Halted && o.Phase == Switching {
+	// Of Halted and Switching, halting is the safe choice.
+	if r.Phase == Halted && other.Phase == Switching {
 		return true
 	}
-	if r.Phase == Switching && o.Phase == Halted {
+	if r.Phase == Switching && other.Phase == Halted {
 		return false
 	}
-	return r.Phase > o.Phase
+	return r.Phase > other.Phase
 }
 
-// belief is what a router believes of one roll-out.
-type belief struct {
+// state is a router's view of one roll-out.
+type state struct {
 	Record
-	heard time.Time // when it was last confirmed
-	since time.Time // when this router learnt of the phase
-	// denied are versions that were rolled back before, which get nothing.
-	denied map[string]bool
+	confirmedAt time.Time // when the record was last confirmed
+	phaseSince  time.Time // when this router learnt of the phase
+	// deniedVersions were rolled back before and get no requests.
+	deniedVersions map[string]bool
 }
 
 // List is one router's view of all roll-outs. It is not safe for concurrent use.
 type List struct {
-	services map[string]*belief
+	services map[string]*state
 	changes  int
 }
 
 // NewList returns an empty list.
-func NewList() *List { return &List{services: map[string]*belief{}} }
+func NewList() *List { return &List{services: map[string]*state{}} }
 
-// Changes counts the changes of what goes where.
+// Changes returns the number of changes to the distribution of requests so far.
 func (l *List) Changes() int { return l.changes }
 
-// Take takes a record that was true so long ago, and reports whether it changed anything. What is
-// known already counts as heard again.
-func (l *List) Take(r Record, age time.Duration, now time.Time) bool {
+// Merge merges a record that was confirmed age ago and reports whether anything changed. A record
+// that is already known counts as a new confirmation.
+func (l *List) Merge(r Record, age time.Duration, now time.Time) bool {
 	b := l.services[r.Order.Service]
 	switch {
-	case b == nil && len(l.services) >= ordersMost:
+	case b == nil && len(l.services) >= maxOrders:
 		return false
 	case b == nil:
-		b = &belief{denied: map[string]bool{}}
+		b = &state{deniedVersions: map[string]bool{}}
 		l.services[r.Order.Service] = b
-	case r.Later(b.Record):
+	case r.Supersedes(b.Record):
 		if b.Phase == RolledBack || b.Phase == Halted {
-			b.denied[b.Order.To] = true
+			b.deniedVersions[b.Order.To] = true
 		}
 	default:
-		if !b.Record.Later(r) && b.Phase == r.Phase {
+		if !b.Record.Supersedes(r) && b.Phase == r.Phase {
 			b.confirm(now.Add(-age))
 		}
 		return false
 	}
-	delete(b.denied, r.Order.To)
+	delete(b.deniedVersions, r.Order.To)
 	b.Record = r
-	b.since = now
-	b.heard = time.Time{}
+	b.phaseSince = now
+	b.confirmedAt = time.Time{}
 	b.confirm(now.Add(-age))
 	l.changes++
 	return true
 }
 
-func (b *belief) confirm(at time.Time) {
-	if at.After(b.heard) {
-		b.heard = at
+func (b *state) confirm(at time.Time) {
+	if at.After(b.confirmedAt) {
+		b.confirmedAt = at
 	}
 }
 
-// Record returns what is known of a service's roll-out.
+// Record returns the record of a service's roll-out.
 func (l *List) Record(service string) (Record, bool) {
 	b := l.services[service]
 	if b == nil {
@@ -193,76 +193,77 @@
 	return b.Record, true
 }
 
-// Told is a record as one router tells it to another.
-type Told struct {
+// AgedRecord is a record as exchanged between routers.
+type AgedRecord struct {
 	Record
-	Age time.Duration // since it was last confirmed
+	Age time.Duration // time since the last confirmation
 }
 
-// Told returns all records, in the order of their services.
-func (l *List) Told(now time.Time) (list []Told) {
+// Records returns all records, ordered by service.
+func (l *List) Records(now time.Time) (list []AgedRecord) {
 	for _, service := range slices.Sorted(maps.Keys(l.services)) {
 		b := l.services[service]
-		list = append(list, Told{b.Record, now.Sub(b.heard)})
+		list = append(list, AgedRecord{b.Record, now.Sub(b.confirmedAt)})
 	}
 	return list
 }
 
-// Group is which of a service's servers a server belongs to.
+// Group determines which share of a service's requests a server gets.
 type Group int
 
 // The groups.
 const (
-	Current Group = iota // they get the requests
-	New                  // they get a part of them
-	None                 // they get none
+	GroupServing  Group = iota // servers that get the requests
+	GroupCanary                // servers that get the canary share
+	GroupExcluded              // servers that get no requests
 )
 
-// Group returns that of a server of the service that runs the version. Services without an order
-// have one group, whatever their servers run.
+// Group returns the group of a server of the service that runs the given version. All servers of a
+// service without an order are in GroupServing.
 func (l *List) Group(service, version string) Group {
 	b := l.services[service]
 	if b == nil {
-		return Current
+		return GroupServing
 	}
-	if b.denied[version] {
-		return None
+	if b.deniedVersions[version] {
+		return GroupExcluded
 	}
 	isNew := version == b.Order.To
 	switch b.Phase {
 	case Canary:
 		if isNew {
-			return New
+			return GroupCanary
 		}
 	case Switching, Completed:
 		if !isNew {
-			return None
+			return GroupExcluded
 		}
 	case Ordered, Halted, RolledBack:
 		if isNew {
-			return None
+			return GroupExcluded
 		}
 	}
-	return Current
+	return GroupServing
 }
 
-// MayTry reports whether requests may go to the service's new version now: it was confirmed
-// lately.
-func (l *List) MayTry(service string, now time.Time) bool {
+// CanaryAllowed reports whether this router may send requests to the service's canary servers now,
+// which requires a recent confirmation.
+func (l *List) CanaryAllowed(service string, now time.Time) bool {
 	b := l.services[service]
-	return b != nil && b.Phase == Canary && now.Sub(b.heard) < freshFor
+	return b != nil && b.Phase == Canary && now.Sub(b.confirmedAt) < confirmationTTL
 }
 
-// Since returns for how long this router has known of the phase of the service's roll-out.
-func (l *List) Since(service string, now time.Time) time.Duration {
+// PhaseAge returns how long this router has known of the current phase of the service's roll-out.
+func (l *List) PhaseAge(service string, now time.Time) time.Duration {
 	if b := l.services[service]; b != nil {
-		return now.Sub(b.since)
+		return now.Sub(b.phaseSince)
 	}
 	return 0
 }
 
-// Running reports whether the service's roll-out is under way, so that its servers' answers count.
-func (l *List) Running(service string) (to string, ok bool) {
+// InProgress reports whether the service's roll-out is in progress, so that its servers' answers are
+// evaluated, and to which version it goes.
+func (l *List) InProgress(service string) (to string, ok bool) {
 	b := l.services[service]
 	if b == nil || b.Phase.Final() || b.Phase == Ordered {
 		return "", false
@@ -270,5 +271,5 @@
 	return b.Order.To, true
 }
 
-// Any reports whether there are roll-outs at all.
+// Any reports whether any roll-outs are known.
 func (l *List) Any() bool { return len(l.services) > 0 }
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -14,101 +14,101 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func order(to string, version uint64) Order {
-	return Order{Service: "llm", To: to, Duration: 30 * time.Second, As: roster.Stamp{Era: 1, Version: version}}
+func orderOf(to string, version uint64) Order {
+	return Order{Service: "llm", To: to, Duration: 30 * time.Second, Stamp: roster.Stamp{Era: 1, Version: version}}
 }
 
-func record(to string, version uint64, p Phase) Record {
-	return Record{Order: order(to, version), Phase: p}
+func recordOf(to string, version uint64, p Phase) Record {
+	return Record{Order: orderOf(to, version), Phase: p}
 }
 
-func TestOrdersThatMakeNoSenseAreRefused(t *testing.T) {
-	for want, o := range map[Fault]Order{
-		FaultService:  {To: "2", Duration: time.Second},
-		FaultVersion:  {Service: "llm", Duration: time.Second},
-		FaultDuration: {Service: "llm", To: "2", Duration: -time.Second},
+func TestInvalidOrdersAreRejected(t *testing.T) {
+	for want, o := range map[OrderError]Order{
+		ErrNoService: {To: "2", Duration: time.Second},
+		ErrNoVersion: {Service: "llm", Duration: time.Second},
+		ErrDuration:  {Service: "llm", To: "2", Duration: -time.Second},
 	} {
 		assert.Equal(t, o.Check(), want)
 	}
-	assert.Equal(t, Order{Service: "llm", To: "2", Duration: 25 * time.Hour}.Check(), FaultDuration)
-	assert.NilError(t, order("2", 1).Check())
+	assert.Equal(t, Order{Service: "llm", To: "2", Duration: 25 * time.Hour}.Check(), ErrDuration)
+	assert.NilError(t, orderOf("2", 1).Check())
 }
 
-// Without an order all servers get requests, whatever they run; with one, the new ones get a part,
-// all, or none.
-func TestWhichServersGetRequests(t *testing.T) {
+// Without an order all servers get requests, whatever version they run. With an order, the servers
+// of the new version get a share, all or none of them.
+func TestGroupByPhase(t *testing.T) {
 	l := NewList()
-	assert.Equal(t, l.Group("llm", "1"), Current)
+	assert.Equal(t, l.Group("llm", "1"), GroupServing)
 	for _, c := range []struct {
-		phase      Phase
-		old, fresh Group
+		phase       Phase
+		old, canary Group
 	}{
-		{Ordered, Current, None},
-		{Canary, Current, New},
-		{Halted, Current, None},
-		{Switching, None, Current},
-		{Completed, None, Current},
+		{Ordered, GroupServing, GroupExcluded},
+		{Canary, GroupServing, GroupCanary},
+		{Halted, GroupServing, GroupExcluded},
+		{Switching, GroupExcluded, GroupServing},
+		{Completed, GroupExcluded, GroupServing},
 	} {
 		l = NewList()
-		l.Take(record("2", 5, c.phase), 0, start)
+		l.Merge(recordOf("2", 5, c.phase), 0, start)
 		assert.Equal(t, l.Group("llm", "1"), c.old, "%s", c.phase)
-		assert.Equal(t, l.Group("llm", "2"), c.fresh, "%s", c.phase)
-		assert.Equal(t, l.Group("app", "1"), Current)
+		assert.Equal(t, l.Group("llm", "2"), c.canary, "%s", c.phase)
+		assert.Equal(t, l.Group("app", "1"), GroupServing)
 	}
 }
 
-// A version that was rolled back gets nothing under a later order for another one, and again if
-// it is ordered again.
-func TestARolledBackVersionStaysOut(t *testing.T) {
+// A version that was rolled back gets no requests under a later order for another version, and gets
+// them again if it is ordered again.
+func TestRolledBackVersionStaysExcluded(t *testing.T) {
 	l := NewList()
-	l.Take(record("2", 5, RolledBack), 0, start)
-	l.Take(record("3", 6, Canary), 0, start)
-	assert.Equal(t, l.Group("llm", "2"), None)
-	assert.Equal(t, l.Group("llm", "1"), Current)
-	l.Take(record("2", 7, Canary), 0, start)
-	assert.Equal(t, l.Group("llm", "2"), New)
-	assert.Equal(t, l.Group("llm", "3"), Current, "it was not rolled back")
+	l.Merge(recordOf("2", 5, RolledBack), 0, start)
+	l.Merge(recordOf("3", 6, Canary), 0, start)
+	assert.Equal(t, l.Group("llm", "2"), GroupExcluded)
+	assert.Equal(t, l.Group("llm", "1"), GroupServing)
+	l.Merge(recordOf("2", 7, Canary), 0, start)
+	assert.Equal(t, l.Group("llm", "2"), GroupCanary)
+	assert.Equal(t, l.Group("llm", "3"), GroupServing, "it was not rolled back")
 }
 
-// A router that has not heard of the roll-out for three seconds sends the new version nothing: it was
-// frozen, cut off, or has just started with an old view.
-func TestPermissionPasses(t *testing.T) {
+// A router without a confirmation for three seconds sends no requests to the new version: it was
+// frozen, partitioned, or has just started with an outdated view.
+func TestCanaryPermissionExpires(t *testing.T) {
 	l := NewList()
-	r := record("2", 5, Canary)
-	l.Take(r, 500*time.Millisecond, start)
-	assert.Assert(t, l.MayTry("llm", at(2499*time.Millisecond)))
-	assert.Assert(t, !l.MayTry("llm", at(2500*time.Millisecond)))
-	l.Take(r, 0, at(2500*time.Millisecond))
-	assert.Assert(t, l.MayTry("llm", at(3*time.Second)))
-	l.Take(record("2", 5, Halted), 0, at(3*time.Second))
-	assert.Assert(t, !l.MayTry("llm", at(3*time.Second)))
-	l.Take(r, 0, at(3*time.Second))
-	assert.Assert(t, !l.MayTry("llm", at(3*time.Second)), "an old phase says nothing any more")
+	r := recordOf("2", 5, Canary)
+	l.Merge(r, 500*time.Millisecond, start)
+	assert.Assert(t, l.CanaryAllowed("llm", at(2499*time.Millisecond)))
+	assert.Assert(t, !l.CanaryAllowed("llm", at(2500*time.Millisecond)))
+	l.Merge(r, 0, at(2500*time.Millisecond))
+	assert.Assert(t, l.CanaryAllowed("llm", at(3*time.Second)))
+	l.Merge(recordOf("2", 5, Halted), 0, at(3*time.Second))
+	assert.Assert(t, !l.CanaryAllowed("llm", at(3*time.Second)))
+	l.Merge(r, 0, at(3*time.Second))
+	assert.Assert(t, !l.CanaryAllowed("llm", at(3*time.Second)), "an earlier phase does not renew the permission")
 }
 
-// Whatever the order in which records come, twice or late: all lists end with the same one, and a
-// final phase that is known stays for its order.
-func TestRecordsComeInAnyOrder(t *testing.T) {
+// Records that arrive late, twice or in any order lead to the same state at every router, and a
+// known final phase of an order does not change.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := []Record{}
 		for v := range uint64(3) {
 			for p := Ordered; p <= Switching; p++ {
-				all = append(all, record([]string{"2", "3"}[v%2], v+1, p))
+				all = append(all, recordOf([]string{"2", "3"}[v%2], v+1, p))
 			}
-			// The store takes one final phase of an order.
-			all = append(all, record([]string{"2", "3"}[v%2], v+1, rapid.SampledFrom([]Phase{RolledBack, Completed}).Draw(t, "end")))
+			// The store accepts only one final phase of an order.
+			all = append(all, recordOf([]string{"2", "3"}[v%2], v+1, rapid.SampledFrom([]Phase{RolledBack, Completed}).Draw(t, "end")))
 		}
 		lists := [2]*List{NewList(), NewList()}
 		for _, l := range lists {
 			final := map[uint64]Phase{}
 			for _, r := range rapid.Permutation(append(all, all...)).Draw(t, "told") {
-				l.Take(r, 0, start)
+				l.Merge(r, 0, start)
 				got, _ := l.Record("llm")
-				if before, ended := final[got.Order.As.Version]; ended {
+				if before, ended := final[got.Order.Stamp.Version]; ended {
 					assert.Equal(t, got.Phase, before)
 				}
 				if got.Phase.Final() {
-					final[got.Order.As.Version] = got.Phase
+					final[got.Order.Stamp.Version] = got.Phase
 				}
 			}
 		}
@@ -116,28 +116,28 @@
 		b, _ := lists[1].Record("llm")
 		assert.Equal(t, a.Phase, b.Phase)
 		assert.Equal(t, a.Order, b.Order)
-		assert.Equal(t, a.Order.As.Version, uint64(3))
+		assert.Equal(t, a.Order.Stamp.Version, uint64(3))
 	})
 }
 
-// The store comes back from a copy and the operator writes the same order again, under another
-// version: it is the same roll-out. Without a return it is another one.
-func TestAnOrderThatIsWrittenAgainAfterAReturnIsTheSame(t *testing.T) {
-	first := order("2", 50)
+// After the store was restored from a backup and the operator has written the same order again under
+// another version, it is the same roll-out. Without a restore it is a new one.
+func TestOrderRewrittenAfterStoreRestoreIsTheSame(t *testing.T) {
+	first := orderOf("2", 50)
 	again := first
-	again.As = roster.Stamp{Era: 2, Version: 40}
-	assert.Assert(t, !again.After(first))
-	again.As = roster.Stamp{Era: 1, Version: 60}
-	assert.Assert(t, again.After(first))
+	again.Stamp = roster.Stamp{Era: 2, Version: 40}
+	assert.Assert(t, !again.NewerThan(first))
+	again.Stamp = roster.Stamp{Era: 1, Version: 60}
+	assert.Assert(t, again.NewerThan(first))
 	l := NewList()
-	l.Take(Record{Order: first, Phase: RolledBack}, 0, start)
-	assert.Assert(t, l.Take(Record{Order: again, Phase: Canary}, 0, start))
+	l.Merge(Record{Order: first, Phase: RolledBack}, 0, start)
+	assert.Assert(t, l.Merge(Record{Order: again, Phase: Canary}, 0, start))
 }
 
-func TestTheNumberOfServicesIsBounded(t *testing.T) {
+func TestServiceCountIsBounded(t *testing.T) {
 	l := NewList()
-	for i := range 2 * ordersMost {
-		l.Take(Record{Order: Order{Service: string(rune('a' + i)), To: "2", Duration: time.Second}}, 0, start)
+	for i := range 2 * maxOrders {
+		l.Merge(Record{Order: Order{Service: string(rune('a' + i)), To: "2", Duration: time.Second}}, 0, start)
 	}
-	assert.Equal(t, len(l.Told(start)), ordersMost)
+	assert.Equal(t, len(l.Records(start)), maxOrders)
 }
--- a/internal/edge/follow/rollouts.go
+++ b/internal/edge/follow/rollouts.go
@@ -50,7 +50,7 @@
 				break
 			}
 			d := duties[told.Order.Service]
-			if d == nil || told.Order.After(d.order) {
+			if d == nil || told.Order.NewerThan(d.order) {
 				d = &rolloutDuty{order: told.Order, decider: rollout.Decider{Bounds: f.Bounds}}
 				duties[told.Order.Service] = d
 			}
@@ -97,15 +97,15 @@
 	}
 	d.ver, d.clock = stored.Ver, stored.Now
 	r, _ := f.State.Rollout(d.order.Service)
-	if !stored.Found || r.Order.After(stored.Record.Order) {
+	if !stored.Found || r.Order.NewerThan(stored.Record.Order) {
 		f.confirm(r, d.readAt.Sub(asked)) // the store knows nothing of it yet
 		return true
 	}
 	// What is stored is true of the store's order, whatever era it was written in.
-	if stored.Record.Order.Same(r.Order) && !stored.Record.Order.After(r.Order) {
+	if stored.Record.Order.Equivalent(r.Order) && !stored.Record.Order.NewerThan(r.Order) {
 		stored.Record.Order = r.Order
 	}
-	if r.Later(stored.Record) {
+	if r.Supersedes(stored.Record) {
 		// The store has come back from a copy, or this router is to tell it.
 		f.confirm(r, d.readAt.Sub(asked))
 		if r.Phase.Final() {
@@ -161,7 +161,7 @@
 // takeOrders takes orders of the operator.
 func (f *Follower) takeOrders(c platform.Change) {
 	for _, o := range c.Orders {
-		o.As.Era = c.At.Era
+		o.Stamp.Era = c.At.Era
 		if f.State.TakeOrder(o) {
 			state.LogRollout(f.Log, rollout.Record{Order: o}, "operator")
 		}
--- a/internal/edge/front/operations_test.go
+++ b/internal/edge/front/operations_test.go
@@ -131,9 +131,9 @@
 
 func TestOperationsRolledBack(t *testing.T) {
 	r := newRig(t)
-	order := rollout.Order{Service: "llm", To: "v2", Duration: time.Minute, As: roster.Stamp{Version: 9}}
+	order := rollout.Order{Service: "llm", To: "v2", Duration: time.Minute, Stamp: roster.Stamp{Version: 9}}
 	for _, phase := range []rollout.Phase{rollout.Canary, rollout.Halted} {
-		record := rollout.Record{Order: order, Phase: phase, Why: "bad: failures on route \"r\""}
+		record := rollout.Record{Order: order, Phase: phase, Reason: "bad: failures on route \"r\""}
 		assert.Assert(t, r.state.TakeRollout(record, 0))
 		state.LogRollout(slog.New(slog.NewJSONHandler(r.log, nil)), record, "store")
 	}
--- a/internal/edge/node/rollout_test.go
+++ b/internal/edge/node/rollout_test.go
@@ -98,7 +98,7 @@
 	edgetest.Until(t, "the order is known", func() bool { return u.store.RolloutState("llm") == "running" })
 	edgetest.Until(t, "it ends", func() bool { return u.store.RolloutState("llm") != "running" })
 	r, _ := u.members[0].node.state.Rollout("llm")
-	assert.Equal(t, u.store.RolloutState("llm"), "completed", "%s", r.Why)
+	assert.Equal(t, u.store.RolloutState("llm"), "completed", "%s", r.Reason)
 	old := arrived(u.servers)
 	late := u.start("127.0.70.9", u.members...)
 	for range 50 {
--- a/internal/edge/peers/rollouts.go
+++ b/internal/edge/peers/rollouts.go
@@ -26,12 +26,12 @@
 const whyMost = 120
 
 // wireRollouts renders roll-outs.
-func wireRollouts(told []rollout.Told) (list []wireRollout) {
+func wireRollouts(told []rollout.AgedRecord) (list []wireRollout) {
 	for _, t := range told {
 		o := t.Order
 		list = append(list, wireRollout{
-			Service: o.Service, To: o.To, DurationMs: o.Duration.Milliseconds(), Era: o.As.Era, Version: o.As.Version,
-			Phase: t.Phase, BeganMs: t.Began.Milliseconds(), Why: t.Why[:min(len(t.Why), whyMost)], AgeMs: t.Age.Milliseconds(),
+			Service: o.Service, To: o.To, DurationMs: o.Duration.Milliseconds(), Era: o.Stamp.Era, Version: o.Stamp.Version,
+			Phase: t.Phase, BeganMs: t.StartedAt.Milliseconds(), Why: t.Reason[:min(len(t.Reason), whyMost)], AgeMs: t.Age.Milliseconds(),
 		})
 	}
 	return list
@@ -42,11 +42,11 @@
 	return rollout.Record{
 		Order: rollout.Order{
 			Service: w.Service, To: w.To, Duration: time.Duration(w.DurationMs) * time.Millisecond,
-			As: roster.Stamp{Era: w.Era, Version: w.Version},
+			Stamp: roster.Stamp{Era: w.Era, Version: w.Version},
 		},
 		Phase: max(rollout.Ordered, min(w.Phase, rollout.Completed)),
-		Began: time.Duration(w.BeganMs) * time.Millisecond,
-		Why:   w.Why,
+		StartedAt: time.Duration(w.BeganMs) * time.Millisecond,
+		Reason:   w.Why,
 	}
 }
 
@@ -98,7 +98,7 @@
 	return e
 }
 
-func sparse(c rollout.Counts) map[uint8]uint32 {
+func sparse(c rollout.Histogram) map[uint8]uint32 {
 	var m map[uint8]uint32
 	for i, n := range c {
 		if n > 0 {
@@ -111,7 +111,7 @@
 	return m
 }
 
-func dense(m map[uint8]uint32) (c rollout.Counts) {
+func dense(m map[uint8]uint32) (c rollout.Histogram) {
 	for i, n := range m {
 		if int(i) < len(c) {
 			c[i] = n
--- a/internal/edge/peers/rollouts_test.go
+++ b/internal/edge/peers/rollouts_test.go
@@ -16,9 +16,9 @@
 // canary is a roll-out of which a part of the requests goes to the new version.
 func canary(p rollout.Phase) rollout.Record {
 	return rollout.Record{
-		Order: rollout.Order{Service: "llm", To: "v2", Duration: 30 * time.Second, As: roster.Stamp{Era: 1, Version: 7}},
+		Order: rollout.Order{Service: "llm", To: "v2", Duration: 30 * time.Second, Stamp: roster.Stamp{Era: 1, Version: 7}},
 		Phase: p,
-		Began: 5 * time.Second,
+		StartedAt: 5 * time.Second,
 	}
 }
 
@@ -61,7 +61,7 @@
 func TestEvidenceReachesEachReporterOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	key := rollout.Key{Service: "llm", To: "v2", Route: "r", New: true}
-	seen := wireEvidence(rollout.Evidence{key: {Answers: 3, Failures: 1, First: rollout.Counts{4: 2}}})
+	seen := wireEvidence(rollout.Evidence{key: {Answers: 3, Failures: 1, First: rollout.Histogram{4: 2}}})
 	p := reporter(t, now, 9)
 	p.State.TakeRollout(canary(rollout.Canary), 0)
 	p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Protocol: protocol, Evidence: seen}, now)
--- a/internal/edge/state/rollout.go
+++ b/internal/edge/state/rollout.go
@@ -23,7 +23,7 @@
 
 // TakeOrder takes an order of the operator, and reports whether it is a new one.
 func (s *State) TakeOrder(o rollout.Order) bool {
-	if known, ok := s.Rollout(o.Service); ok && !o.After(known.Order) {
+	if known, ok := s.Rollout(o.Service); ok && !o.NewerThan(known.Order) {
 		return false
 	}
 	return s.TakeRollout(rollout.Record{Order: o}, 0)
@@ -34,7 +34,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if !s.rollouts.Take(r, age, now) {
+	if !s.rollouts.Merge(r, age, now) {
 		return false
 	}
 	s.setServers(now)
@@ -44,7 +44,7 @@
 // LogRollout writes a new phase of a roll-out.
 func LogRollout(log *slog.Logger, r rollout.Record, from string) {
 	events.RolloutPhase.Log(context.Background(), log, slog.LevelWarn, "service", r.Order.Service, "to", r.Order.To, "phase", r.Phase.String(),
-		"why", r.Why, "from", from, "era", r.Order.As.Era, "ver", r.Order.As.Version)
+		"why", r.Reason, "from", from, "era", r.Order.Stamp.Era, "ver", r.Order.Stamp.Version)
 }
 
 // Rollout returns what is known of a service's roll-out.
@@ -55,10 +55,10 @@
 }
 
 // Rollouts returns all roll-outs, for other routers.
-func (s *State) Rollouts() []rollout.Told {
+func (s *State) Rollouts() []rollout.AgedRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rollouts.Told(s.now())
+	return s.rollouts.Records(s.now())
 }
 
 // RolloutInput is what a decision on a service's roll-out rests on, but for the store's clock.
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, servers := s.picker.Versions(r.Order.Service, r.Order.To)
-	return rollout.Input{Total: s.evidence.Of(r.Order.Service, r.Order.To), Old: old, Servers: servers}
+	return rollout.Input{Total: s.evidence.ForRollout(r.Order.Service, r.Order.To), OldRequests: old, NewServers: servers}
 }
 
 // takeEvidence returns what this router's requests have shown of new versions since it was called
@@ -82,7 +82,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key := range e {
-		if to, running := s.rollouts.Running(key.Service); !running || to != key.To {
+		if to, running := s.rollouts.InProgress(key.Service); !running || to != key.To {
 			delete(e, key) // of an order that is over
 		}
 	}
@@ -92,10 +92,10 @@
 // newPart returns which part of the servers of a new version the request may go to; 0: it goes to
 // the old ones. Only first attempts do: what failed once is not tried on a version that may be bad.
 func (s *State) newPart(n Need, now time.Time) float64 {
-	if n.Again || !s.rollouts.MayTry(n.Service, now) {
+	if n.Again || !s.rollouts.CanaryAllowed(n.Service, now) {
 		return 0
 	}
-	part := s.rolloutBounds.Part(s.rollouts.Since(n.Service, now))
+	part := s.rolloutBounds.CanaryShare(s.rollouts.PhaseAge(n.Service, now))
 	if s.rng.Float64() >= part {
 		return 0
 	}
@@ -104,7 +104,7 @@
 
 // noteAnswer notes what a server's answer shows of its version.
 func (s *State) noteAnswer(p *Placed, o pick.Outcome, now time.Time) {
-	to, running := s.rollouts.Running(p.service)
+	to, running := s.rollouts.InProgress(p.service)
 	if !running || p.Status == 0 || o == pick.Full || o == pick.Leaving || o == pick.Abandoned {
 		return
 	}
@@ -119,6 +119,6 @@
 		}
 	}
 	key := rollout.Key{Service: p.service, To: to, Route: p.route, New: p.Choice.Server.Version == to}
-	s.evidence.Note(key, a)
-	s.ownEvidence.Note(key, a)
+	s.evidence.Observe(key, a)
+	s.ownEvidence.Observe(key, a)
 }
