--- a/internal/core/poison/poison.go
+++ b/internal/core/poison/poison.go
@@ -87,7 +87,7 @@
 	Wait      time.Duration // how long the request may not be sent; 0 if it may
 	Ambiguous bool          // it may not be sent, and another content may have caused the crashes
 	Trial     bool          // it may be sent, as the only one with this content at this router; EndTrial must follow
-	// Isolate means that the request must run on a server without other suspects.
+	// Isolate means that the request is to run apart from other suspects.
 	Isolate bool
 }
 
