--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -157,18 +157,18 @@
 	if r == nil {
 		return
 	}
-	exchange := attempt.NewExchange(attempt.Rule{MaxAttempts: 3})
+	exchange := attempt.NewExchange(attempt.Policy{MaxAttempts: 3})
 	for action := attempt.Retry; action == attempt.Retry; {
 		exchange.BeginAttempt()
 		action = m.runAttempt(t, r, exchange)
 	}
 	ran := slices.Contains(m.runs[r.key], r.id)
-	if exchange.Outcome().Ran() == "no" {
+	if exchange.Outcome().RunHeader() == "no" {
 		assert.Assert(t, !ran, "reported as not run, but it ran")
 	}
 	r.result = &claim.Result{State: claim.Indeterminate}
 	switch exchange.Outcome() {
-	case attempt.Ended:
+	case attempt.Completed:
 		assert.Assert(t, ran)
 		r.result = &claim.Result{State: claim.Done, Answer: &claim.Answer{Status: 200, Body: []byte(r.content)}}
 	case attempt.NotSent, attempt.Refused:
@@ -184,7 +184,7 @@
 	if r.lease.Check(time.Duration(m.now)*time.Millisecond) != nil {
 		return step(attempt.Expired)
 	}
-	point := rapid.SampledFrom([]attempt.Kind{attempt.DialFailed, attempt.Refusal, attempt.Cut, attempt.Header, attempt.Closing, attempt.Closing}).Draw(t, "point")
+	point := rapid.SampledFrom([]attempt.Kind{attempt.DialFailed, attempt.Refusal, attempt.Interrupted, attempt.Header, attempt.AnswerComplete, attempt.AnswerComplete}).Draw(t, "point")
 	if point == attempt.DialFailed {
 		return step(point)
 	}
@@ -194,12 +194,12 @@
 	}
 	m.runs[r.key] = append(m.runs[r.key], r.id)
 	m.answers[r.key] = r.content
-	if point == attempt.Cut {
+	if point == attempt.Interrupted {
 		return step(point)
 	}
 	step(attempt.Header)
 	if point == attempt.Header {
-		return step(attempt.Cut)
+		return step(attempt.Interrupted)
 	}
 	return step(point)
 }
--- a/internal/core/pick/index.go
+++ b/internal/core/pick/index.go
@@ -190,8 +190,8 @@
 	}
 	s.unlisted = false
 	group := p.rollouts.Group(entry.Service, entry.Version)
-	s.listName = listName(entry.Service, group == rollout.New)
-	s.accepts = entry.AcceptsRequests() && !p.evacuated[entry.DataCentre] && !p.isLeaving(entry.Identity()) && group != rollout.None
+	s.listName = listName(entry.Service, group == rollout.GroupCanary)
+	s.accepts = entry.AcceptsRequests() && !p.evacuated[entry.DataCentre] && !p.isLeaving(entry.Identity()) && group != rollout.GroupExcluded
 	s.region = p.regions[entry.DataCentre]
 	p.describe(s)
 	p.applyEntryWarmup(s, previous, now)
--- a/internal/edge/state/servers.go
+++ b/internal/edge/state/servers.go
@@ -147,7 +147,7 @@
 	}
 	now := s.now()
 	s.roster.StoreRestored(now)
-	s.poison.Unstored(s.rng, now)
+	s.poison.MarkAllUnstored(s.rng, now)
 	return before, true
 }
 
@@ -246,7 +246,7 @@
 
 // noteTakenBack tells the picker which evacuations ended lately.
 func (s *State) noteTakenBack(now time.Time) {
-	for dc, at := range s.evacuated.Ended() {
+	for dc, at := range s.evacuated.RecentlyEnded() {
 		s.picker.EvacuationCancelled(dc, at, now)
 	}
 }
@@ -263,7 +263,7 @@
 			return
 		}
 		all += n
-		if !s.evacuated.In(dataCentre) {
+		if !s.evacuated.Evacuated(dataCentre) {
 			open += n
 		}
 	})
