--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain finds in collected log lines what became of one request and
-// why: its own lines in the order of time, what its router believed at the time,
-// and a conclusion. It says when lines are missing.
+// Package explain reconstructs the outcome of one request, and its cause, from collected log lines:
+// the request's own lines in chronological order, the changes of its router's state before its end,
+// and a conclusion. It reports when lines are missing.
 package explain
 
 import (
@@ -15,35 +15,36 @@
 )
 
 const (
-	// before is how far back a change of belief may have led to a failure.
-	before = 10 * time.Second
-	// maxLine bounds one log line.
-	maxLine = 1 << 20
-	// mostBeliefs bounds the changes of belief that are shown.
-	mostBeliefs = 12
+	// lookback is how long before a request a change of its router's state may have caused a
+	// failure.
+	lookback = 10 * time.Second
+	// maxLineBytes is the maximum length of a log line.
+	maxLineBytes = 1 << 20
+	// maxStateChanges is the maximum number of state changes in a report.
+	maxStateChanges = 12
 )
 
-// The numbers of the events that the conclusion reads (docs/EVENTS.md).
+// The numbers of the events that a report uses (docs/EVENTS.md).
 const (
-	refused    = 340
-	sent       = 341
-	failed     = 342
-	answered   = 343
-	givenUp    = 344
-	cut        = 345
-	left       = 346
-	resumed    = 347
-	dropped    = 108
-	inForce    = 230
-	suspected  = 420
-	listed     = 422
-	storeLost  = 720
-	storeBack  = 721
-	readyEvent = 107
+	eventRefused         = 340
+	eventSent            = 341
+	eventAttemptFailed   = 342
+	eventAnswered        = 343
+	eventUnanswered      = 344
+	eventTruncated       = 345
+	eventCallerLeft      = 346
+	eventResumed         = 347
+	eventLinesDropped    = 108
+	eventConfigInForce   = 230
+	eventServerSuspected = 420
+	eventServersChanged  = 422
+	eventStoreLost       = 720
+	eventStoreRegained   = 721
+	eventReadiness       = 107
 )
 
-// beliefs are the events that change what a router believes.
-var beliefs = []int{inForce, suspected, listed, storeLost, storeBack, readyEvent}
+// stateEvents are the events that report a change of a router's state.
+var stateEvents = []int{eventConfigInForce, eventServerSuspected, eventServersChanged, eventStoreLost, eventStoreRegained, eventReadiness}
 
 // Line is one log line.
 type Line struct {
@@ -51,10 +52,10 @@
 	Host    string
 	Event   int
 	Message string
-	Fields  map[string]any // the rest
+	Fields  map[string]any // all other fields
 }
 
-// text returns a field as text; empty: none.
+// text returns a field as text, or "" if the line does not have it.
 func (l Line) text(name string) string {
 	v, ok := l.Fields[name]
 	if !ok {
@@ -63,22 +64,23 @@
 	return fmt.Sprint(v)
 }
 
-// Report is what the lines say of a request.
+// Report explains the outcome of a request.
 type Report struct {
-	Request    string
-	Lines      []Line // of the request itself
-	Beliefs    []Line // of its routers, before its end
-	Dropped    []Line // by which lines may be missing
-	Conclusion string
-	Missing    string // what is missing; empty: nothing is known to be
+	Request      string
+	Lines        []Line // of the request itself
+	StateChanges []Line // of the state of its routers, before its end
+	Dropped      []Line // reports of dropped lines, which may include lines of the request
+	Conclusion   string
+	Missing      string // what is missing; empty if nothing is known to be
 }
 
-// Read reads the lines of several logs, and leaves out what is no log line.
+// Read reads several logs and returns their lines in chronological order. Text that is not a log
+// line is skipped.
 func Read(logs ...io.Reader) ([]Line, error) {
 	var lines []Line
 	for _, r := range logs {
 		s := bufio.NewScanner(r)
-		s.Buffer(make([]byte, 0, 64<<10), maxLine)
+		s.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 		for s.Scan() {
 			if l, ok := parse(s.Bytes()); ok {
 				lines = append(lines, l)
@@ -92,7 +94,7 @@
 	return lines, nil
 }
 
-// ReadError is a log that can't be read.
+// ReadError reports a log that can't be read.
 type ReadError struct{ Err error }
 
 // Error implements error.
@@ -101,7 +103,7 @@
 // Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Err }
 
-// parse reads one line; a collector may have put something before the JSON.
+// parse parses one line. A collector may have added a prefix to the JSON.
 func parse(text []byte) (Line, bool) {
 	i := bytes.IndexByte(text, '{')
 	if i < 0 {
@@ -126,7 +128,7 @@
 	return Line{Time: head.Time, Host: head.Host, Event: head.Event, Message: head.Msg, Fields: fields}, true
 }
 
-// Explain explains a request by the lines, which are in the order of time.
+// Explain explains a request from the lines, which must be in chronological order.
 func Explain(lines []Line, request string) Report {
 	r := Report{Request: request}
 	hosts := map[string]bool{}
@@ -138,29 +140,29 @@
 	}
 	if len(r.Lines) == 0 {
 		r.Conclusion = "no line names this request"
-		r.Missing = "it was answered whole at the first server and is not among the requests whose routine lines are written, " +
-			"or its refusal is among those left out (leftOut of event 340, event 108), or its router's log was not collected"
+		r.Missing = "either the first server answered it completely and it is not among the requests whose routine lines are logged, " +
+			"or the line of its refusal was omitted (leftOut of event 340, event 108), or its router's log was not collected"
 		return r
 	}
 	first, last := r.Lines[0].Time, r.Lines[len(r.Lines)-1].Time
 	servers := r.servers()
 	for _, l := range lines {
-		if !hosts[l.Host] || l.Time.Before(first.Add(-before)) || l.Time.After(last) {
+		if !hosts[l.Host] || l.Time.Before(first.Add(-lookback)) || l.Time.After(last) {
 			continue
 		}
 		switch {
-		case l.Event == dropped:
+		case l.Event == eventLinesDropped:
 			r.Dropped = append(r.Dropped, l)
-		case relevant(l, servers):
-			r.Beliefs = append(r.Beliefs, l)
+		case isRelevant(l, servers):
+			r.StateChanges = append(r.StateChanges, l)
 		}
 	}
-	r.Beliefs = r.Beliefs[max(0, len(r.Beliefs)-mostBeliefs):]
+	r.StateChanges = r.StateChanges[max(0, len(r.StateChanges)-maxStateChanges):]
 	r.conclude()
 	return r
 }
 
-// servers are those that the request's lines name.
+// servers returns the servers that the request's lines name.
 func (r *Report) servers() map[string]bool {
 	named := map[string]bool{}
 	for _, l := range r.Lines {
@@ -171,45 +173,46 @@
 	return named
 }
 
-// relevant reports whether a change of belief may have mattered: all but those
-// about other servers.
-func relevant(l Line, servers map[string]bool) bool {
-	if !slices.Contains(beliefs, l.Event) {
+// isRelevant reports whether the line is a state change that may have affected the request: any
+// except those about other servers.
+func isRelevant(l Line, servers map[string]bool) bool {
+	if !slices.Contains(stateEvents, l.Event) {
 		return false
 	}
 	server := l.text("server")
 	return server == "" || servers[server]
 }
 
-// conclude words the cause by the request's last decisive line.
+// conclude sets the conclusion from the request's last line that reports an outcome, or from its
+// last line if there is none.
 func (r *Report) conclude() {
 	if len(r.Dropped) > 0 {
 		r.Missing = "its router dropped log lines around that time (event 108); lines of the request may be among them"
 	}
 	end := r.Lines[len(r.Lines)-1]
 	for _, l := range r.Lines {
-		if l.Event == refused || l.Event == givenUp || l.Event == cut || l.Event == answered {
+		if l.Event == eventRefused || l.Event == eventUnanswered || l.Event == eventTruncated || l.Event == eventAnswered {
 			end = l
 		}
 	}
 	switch end.Event {
-	case refused:
+	case eventRefused:
 		r.Conclusion = r.refusal(end)
-	case givenUp:
-		r.Conclusion = "sent and not answered: " + end.text("reason") + "; " + r.lastFailure()
-	case cut:
-		r.Conclusion = "cut after event " + end.text("last") + ": " + end.text("reason") + "; " + r.lastFailure()
-	case answered:
-		r.Conclusion = "answered with status " + end.text("status") + " by " + end.text("server") + " after " + end.text("tries") + " tries"
-	case left:
-		r.Conclusion = "its caller left, " + end.text("afterMs") + " ms after it had come"
-	case sent, resumed, failed:
-		r.Conclusion = "the last line is “" + end.Message + "”: its router ended, or its end was not collected"
-		r.Missing = "the request's end"
+	case eventUnanswered:
+		r.Conclusion = "sent but not answered: " + end.text("reason") + "; " + r.lastFailure()
+	case eventTruncated:
+		r.Conclusion = "answer broke off after event " + end.text("last") + ": " + end.text("reason") + "; " + r.lastFailure()
+	case eventAnswered:
+		r.Conclusion = "answered with status " + end.text("status") + " by " + end.text("server") + " after " + end.text("tries") + " attempts"
+	case eventCallerLeft:
+		r.Conclusion = "its caller closed the connection " + end.text("afterMs") + " ms after the request had arrived"
+	case eventSent, eventResumed, eventAttemptFailed:
+		r.Conclusion = "the last line is “" + end.Message + "”: its router stopped, or the line of its outcome was not collected"
+		r.Missing = "the request's outcome"
 	}
 }
 
-// refusal words why a router refused.
+// refusal describes why a router refused the request.
 func (r *Report) refusal(l Line) string {
 	reason := l.text("reason")
 	base := fmt.Sprintf("refused by %s with status %s under configuration %s: %s", l.Host, l.text("status"), l.text("config"), reason)
@@ -217,31 +220,31 @@
 	case strings.Contains(reason, "over share"):
 		base += fmt.Sprintf("; the customer was served %s tokens/s against a share of %s", l.text("served"), l.text("share"))
 		if l.text("candidates") == "0" {
-			return base + ", and others lacked of theirs: no server was looked for"
+			return base + " while others were below theirs: no server was searched for"
 		}
 		return base + fmt.Sprintf(", and servers had %s ms of work waiting", l.text("waitMs"))
 	case strings.Contains(reason, "behind its work"), strings.Contains(reason, "in progress here"):
-		return base + fmt.Sprintf("; the host had %s requests in progress and what could run waited %s ms for its processor", l.text("running"), l.text("processorWaitMs"))
+		return base + fmt.Sprintf("; the host had %s requests in progress, and runnable work waited %s ms for a processor", l.text("running"), l.text("processorWaitMs"))
 	case strings.Contains(reason, "busy"):
 		return base + fmt.Sprintf("; the best of %s servers had %s ms of work waiting", l.text("candidates"), l.text("waitMs"))
 	}
 	return base
 }
 
-// lastFailure words the last failed attempt.
+// lastFailure describes the last failed attempt.
 func (r *Report) lastFailure() string {
 	for i := len(r.Lines) - 1; i >= 0; i-- {
 		l := r.Lines[i]
-		if l.Event != failed {
+		if l.Event != eventAttemptFailed {
 			continue
 		}
-		how := l.text("err")
-		if how == "" {
-			how = "status " + l.text("status")
+		failure := l.text("err")
+		if failure == "" {
+			failure = "status " + l.text("status")
 		}
-		return fmt.Sprintf("the last attempt was at %s and ended with %s", l.text("server"), how)
+		return fmt.Sprintf("the last attempt was at %s and ended with %s", l.text("server"), failure)
 	}
-	return "no attempt's failure is logged: the server was silent until the time was over"
+	return "no failed attempt is logged: the server did not answer before the time limit"
 }
 
 // Write writes the report as text.
@@ -249,7 +252,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "request %s\n", r.Request)
 	section(&b, "lines of the request", r.Lines)
-	section(&b, "what its router came to believe before its end", r.Beliefs)
+	section(&b, "state changes of its router before its end", r.StateChanges)
 	fmt.Fprintf(&b, "conclusion: %s\n", r.Conclusion)
 	if r.Missing != "" {
 		fmt.Fprintf(&b, "missing: %s\n", r.Missing)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// logs are those of a router, as a collector stored them.
+// logs are the logs of several routers, as a collector stored them.
 const logs = `   3.2 edge-1 {"time":"2026-12-02T10:00:00.1Z","level":"WARN","msg":"backend server suspected","host":"edge-1","event":420,"server":"i-1","why":"silent","request":"other"}
 {"time":"2026-12-02T10:00:00.2Z","level":"INFO","msg":"backend server suspected","host":"edge-1","event":420,"server":"i-9","why":"silent","request":"other"}
 {"time":"2026-12-02T10:00:01Z","level":"INFO","msg":"attempt at server failed","host":"edge-1","event":342,"request":"aa","server":"i-1","stage":"send","err":"EOF","sent":true}
@@ -32,35 +32,35 @@
 	return r, b.String()
 }
 
-func TestFailureAtAServer(t *testing.T) {
+func TestFailedAttemptIsExplained(t *testing.T) {
 	r, text := explain(t, "aa")
 	assert.Assert(t, strings.Contains(r.Conclusion, "the last attempt was at i-1 and ended with EOF"), r.Conclusion)
-	assert.Equal(t, len(r.Beliefs), 1, "only what concerns its servers:\n%s", text)
+	assert.Equal(t, len(r.StateChanges), 1, "only changes that concern its servers:\n%s", text)
 	assert.Equal(t, r.Missing, "")
 }
 
-func TestRefusalByAdmission(t *testing.T) {
+func TestRefusalOverShareIsExplained(t *testing.T) {
 	r, _ := explain(t, "bb")
 	assert.Assert(t, strings.Contains(r.Conclusion, "served 90000 tokens/s against a share of 45000"), r.Conclusion)
 }
 
-func TestRefusalByTheHostItself(t *testing.T) {
+func TestRefusalWithoutServerChoiceIsExplained(t *testing.T) {
 	r, _ := explain(t, "ee")
-	assert.Assert(t, strings.Contains(r.Conclusion, "310 requests in progress and what could run waited 140 ms"), r.Conclusion)
+	assert.Assert(t, strings.Contains(r.Conclusion, "310 requests in progress, and runnable work waited 140 ms"), r.Conclusion)
 	r, _ = explain(t, "ff")
-	assert.Assert(t, strings.Contains(r.Conclusion, "no server was looked for"), r.Conclusion)
+	assert.Assert(t, strings.Contains(r.Conclusion, "no server was searched for"), r.Conclusion)
 }
 
-func TestWrongKeyAndDroppedLines(t *testing.T) {
+func TestUnknownKeyAndDroppedLinesAreReported(t *testing.T) {
 	r, text := explain(t, "cc")
 	assert.Assert(t, strings.Contains(r.Conclusion, "status 401 under configuration 8"), r.Conclusion)
 	assert.Assert(t, strings.Contains(text, "configuration in force"), text)
 	assert.Assert(t, strings.Contains(r.Missing, "dropped"), r.Missing)
 }
 
-func TestMissingLinesAreSaid(t *testing.T) {
+func TestMissingLinesAreReported(t *testing.T) {
 	r, _ := explain(t, "zz")
 	assert.Assert(t, r.Missing != "")
 	r, _ = explain(t, "dd")
-	assert.Equal(t, r.Missing, "the request's end")
+	assert.Equal(t, r.Missing, "the request's outcome")
 }
