--- a/internal/edge/follow/crashes.go
+++ b/internal/edge/follow/crashes.go
@@ -20,7 +20,7 @@
 	blockedName = "blocked contents"
 )
 
-// readServers reads the list of servers, and the first time the blocked contents before it returns:
+// readServers reads the list of servers and, unless they have been read before, the blocked contents:
 // a router that accepts requests then knows what the fleet knew before it started. If the blocked
 // contents can't be read because a part of the store is down, the list is returned nevertheless.
 func (f *Follower) readServers(ctx context.Context) (platform.Change, error) {
--- a/internal/edge/state/place.go
+++ b/internal/edge/state/place.go
@@ -24,7 +24,7 @@
 	// plainWaitFraction is the fraction of the response time target for which a request to a plain
 	// service may wait for a slot.
 	plainWaitFraction = 1.0
-	// minRetryAfter and maxRetryAfter bound the wait that a refused caller is told: the minimum
+	// minRetryAfter and maxRetryAfter bound the retry delay sent to a refused caller: the minimum
 	// covers the round trip and the time in which other routers' reports arrive, the maximum is
 	// short for someone who waits for an answer.
 	minRetryAfter = 40 * time.Millisecond
@@ -81,10 +81,10 @@
 }
 
 const (
-	// evacuatedRetryAfter is the wait that callers are told while all servers are evacuated: an
-	// operator needs seconds at least to cancel an evacuation.
+	// evacuatedRetryAfter is the retry delay while all servers are evacuated: an operator needs at
+	// least some seconds to cancel an evacuation.
 	evacuatedRetryAfter = time.Second
-	// maxColdRetryAfter limits that wait while servers warm up, because permits become available
+	// maxColdRetryAfter limits the delay while servers warm up, because permits become available
 	// all the time, and while servers are in backoff, because another router may have servers
 	// that are not.
 	maxColdRetryAfter = maxRetryAfter
