--- a/internal/edge/node/metrics.go
+++ b/internal/edge/node/metrics.go
@@ -55,10 +55,10 @@
 		n.meter.Counter("heartbeats_total", "Heartbeats sent to other routers.", labels, func() float64 { return float64(t.Messages.Load()) })
 		n.meter.Counter("heartbeat_bytes_total", "Their bytes.", labels, func() float64 { return float64(t.Bytes.Load()) })
 	})
-	stats.EachPart(func(part string, left func() int64) {
+	stats.EachTruncated(func(part string, left func() int64) {
 		n.meter.Counter("heartbeat_left_out_total", "Entries that found no room in a heartbeat.", map[string]string{"part": part}, func() float64 { return float64(left()) })
 	})
-	for direction, t := range map[string]*peers.Traffic{"given": stats.Given(), "fetched": stats.Fetched()} {
+	for direction, t := range map[string]*peers.Traffic{"given": stats.Served(), "fetched": stats.Fetched()} {
 		labels := map[string]string{"direction": direction}
 		n.meter.Counter("views_total", "Views, lists and configurations given to other routers or fetched from them.", labels, func() float64 { return float64(t.Messages.Load()) })
 		n.meter.Counter("view_bytes_total", "Their bytes.", labels, func() float64 { return float64(t.Bytes.Load()) })
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -186,8 +186,8 @@
 // router was told to stop and has drained.
 func (n *Node) Actors(g *run.Group, hup, term <-chan os.Signal) {
 	f := &follow.Follower{
-		State: n.state, Store: n.store, Log: n.log, Meter: n.meter, Joined: n.peers.Joined, Now: n.clock.Now,
-		Role: n.peers.Role, Registers: n.peers.Registers, MissesMany: n.peers.MissesMany, Bounds: rolloutBounds(n.settings),
+		State: n.state, Store: n.store, Log: n.log, Meter: n.meter, Joined: n.peers.WaitJoined, Now: n.clock.Now,
+		Role: n.peers.Role, Registers: n.peers.ShouldRegister, MissesMany: n.peers.HearsMinority, Bounds: rolloutBounds(n.settings),
 	}
 	n.peers.Join(n.settings.Seeds, n.settings.FirstStart)
 	n.loop(g, f.Config)
@@ -309,7 +309,7 @@
 func (n *Node) register(ctx context.Context) error {
 	written := false
 	era := uint64(0) // of the store that has the address
-	n.peers.Joined(ctx)
+	n.peers.WaitJoined(ctx)
 	t := time.NewTimer(registerAfter + rand.N(registerAfter))
 	defer t.Stop()
 	for {
@@ -323,7 +323,7 @@
 			era = now
 			written = false // the store may have lost it
 		}
-		if !written && n.peers.Registers() {
+		if !written && n.peers.ShouldRegister() {
 			if err := n.store.Register(ctx, n.settings.Control); err != nil {
 				events.StoreRegister.Log(ctx, n.log, slog.LevelWarn, "err", err)
 			} else {
--- a/internal/edge/peers/crashes.go
+++ b/internal/edge/peers/crashes.go
@@ -7,52 +7,52 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// crashesMost bounds the contents that one report tells of: some 2 KB. When an engine ends,
-// what it ran is known to its routers; each tells of some five.
-const crashesMost = 64
+// maxCrashRecords is the maximum number of contents in one report, some 2 KB. When an engine
+// crashes, the routers whose requests it was running know them; each reports about five.
+const maxCrashRecords = 64
 
-// contentCrashes is what a report tells of a content under which servers crashed: 30 bytes with two crashes.
+// contentCrashes reports the server crashes under a content. It takes 30 bytes with two crashes.
 type contentCrashes struct {
-	_        struct{} `cbor:",toarray"`
-	Content  routing.ContentHash
-	Ends     []serverCrash
-	WorkedMs int64 // how long ago there was a complete response, rounded up; 0: there was none
-	Stored   bool
+	_              struct{} `cbor:",toarray"`
+	Content        routing.ContentHash
+	Crashes        []serverCrash
+	SucceededAgeMs int64 // time since a complete response, rounded up; 0 if there was none
+	Stored         bool
 }
 
-// serverCrash is one of its crashes.
+// serverCrash is a crash of a server while it ran a content.
 type serverCrash struct {
 	_      struct{} `cbor:",toarray"`
 	Server routing.ServerKey
-	RanMs  int64 // from the sending to the end
+	RanMs  int64 // from sending the request to the crash
 	AgeMs  int64
 }
 
-// wireCrashes renders records for a report, as many as it holds.
-func wireCrashes(records []poison.Record) []contentCrashes {
+// crashesToWire encodes records for a report, up to maxCrashRecords.
+func crashesToWire(records []poison.Record) []contentCrashes {
 	var list []contentCrashes
-	for _, r := range records[:min(len(records), crashesMost)] {
+	for _, r := range records[:min(len(records), maxCrashRecords)] {
 		w := contentCrashes{Content: r.Content, Stored: r.Stored}
 		if r.Succeeded > 0 {
-			w.WorkedMs = r.Succeeded.Milliseconds() + 1
+			w.SucceededAgeMs = r.Succeeded.Milliseconds() + 1
 		}
 		for _, e := range r.Crashes {
-			w.Ends = append(w.Ends, serverCrash{Server: e.Server, RanMs: e.Ran.Milliseconds(), AgeMs: e.Age.Milliseconds()})
+			w.Crashes = append(w.Crashes, serverCrash{Server: e.Server, RanMs: e.Ran.Milliseconds(), AgeMs: e.Age.Milliseconds()})
 		}
 		list = append(list, w)
 	}
 	return list
 }
 
-// readCrashes reads them. A report may have waited here for so long.
-func readCrashes(list []contentCrashes, waited time.Duration) []poison.Record {
+// crashesFromWire decodes the records of a report that has waited on this host for the given time.
+func crashesFromWire(list []contentCrashes, waited time.Duration) []poison.Record {
 	var records []poison.Record
 	for _, w := range list {
 		r := poison.Record{Content: w.Content, Stored: w.Stored}
-		if w.WorkedMs > 0 {
-			r.Succeeded = time.Duration(w.WorkedMs)*time.Millisecond + waited
+		if w.SucceededAgeMs > 0 {
+			r.Succeeded = time.Duration(w.SucceededAgeMs)*time.Millisecond + waited
 		}
-		for _, e := range w.Ends {
+		for _, e := range w.Crashes {
 			r.Crashes = append(r.Crashes, poison.CrashAge{
 				Server: e.Server,
 				Ran:    time.Duration(e.RanMs) * time.Millisecond,
@@ -64,17 +64,17 @@
 	return records
 }
 
-// takeCrashes takes what a report tells of crashes of servers.
-func (p *Peers) takeCrashes(from string, records []poison.Record) {
+// applyCrashes merges the crashes of a report.
+func (p *Peers) applyCrashes(from string, records []poison.Record) {
 	if len(records) == 0 {
 		return
 	}
 	p.State.MergeCrashes(records).Log(p.Log, from)
 }
 
-// MissesMany reports whether fewer than half of the routers known lately are heard, or none:
-// then this one may be cut off from those that know what it should.
-func (p *Peers) MissesMany() bool {
+// HearsMinority reports whether this router hears fewer than half of the recently known routers, or
+// none. It may then be cut off from those that have newer state.
+func (p *Peers) HearsMinority() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	live := p.spread.LiveCount()
--- a/internal/edge/peers/evacuation_test.go
+++ b/internal/edge/peers/evacuation_test.go
@@ -12,38 +12,38 @@
 	"github.com/windscale/windscale/internal/edge/state"
 )
 
-// A router that does not follow the store has the evacuations from the next heartbeat of one
-// that does, and their end; one that starts has them, and what was taken back a moment ago, in
-// its first view.
-func TestEvacuationsComeWithHeartbeatsAndFirstViews(t *testing.T) {
+// A router that does not follow the store learns the start and the end of an evacuation from the
+// next heartbeat of a router that does. A router that joins learns the evacuations, including those
+// just taken back, from its first view.
+func TestEvacuationsInHeartbeatsAndFirstViews(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
-	a, b := lone(t, clock, noWait), lone(t, clock, noWait)
+	a, b := isolatedPeers(t, clock, noWait), isolatedPeers(t, clock, noWait)
 	a.Self.Addr = "127.0.0.40:1"
-	told := func() {
-		text, err := cbor.Marshal(a.heartbeat(kindOwn, state.NewReport(), nil))
+	sendHeartbeat := func() {
+		data, err := cbor.Marshal(a.newHeartbeat(kindOwn, state.NewReport(), nil))
 		assert.NilError(t, err)
 		var w heartbeat
-		assert.NilError(t, cbor.Unmarshal(text, &w))
-		b.take(w, now)
+		assert.NilError(t, cbor.Unmarshal(data, &w))
+		b.handleHeartbeat(w, now)
 	}
 	a.State.EvacuationsChanged([]string{"x", "y"}, nil, true, roster.Stamp{Era: 3, Version: 40})
-	told()
+	sendHeartbeat()
 	assert.Equal(t, b.State.EvacuatedCount(), 2)
 	a.State.EvacuationsChanged(nil, []string{"x"}, false, roster.Stamp{Era: 3, Version: 50})
-	told()
+	sendHeartbeat()
 	assert.Equal(t, b.State.EvacuatedCount(), 1)
 	b.State.EvacuationsChanged(nil, nil, true, roster.Stamp{Era: 3, Version: 60})
-	told()
+	sendHeartbeat()
 	assert.Equal(t, b.State.EvacuatedCount(), 0, "an older list changes nothing")
 
 	assert.Assert(t, a.State.TakeConfig(&routing.Config{Version: 5}, []byte(`{"version":5}`)))
 	a.State.ServersReplaced([]routing.Server{{ID: "i", DataCentre: "y", State: routing.ServerReady}}, roster.Stamp{Era: 3, Version: 50}, false)
 	a.State.Confirm(0)
-	text, err := a.ownView()
+	data, err := a.encodeView()
 	assert.NilError(t, err)
-	fresh := lone(t, clock, noWait)
-	assert.NilError(t, fresh.takeView(text, 10*time.Millisecond))
+	fresh := isolatedPeers(t, clock, noWait)
+	assert.NilError(t, fresh.applyView(data, 10*time.Millisecond))
 	assert.Equal(t, fresh.State.EvacuatedCount(), 1)
 	assert.Assert(t, !fresh.State.Takes(routing.Identity{ID: "i"}))
 	list, _ := fresh.State.EvacuationsTold()
--- a/internal/edge/peers/heartbeat.go
+++ b/internal/edge/peers/heartbeat.go
@@ -17,176 +17,173 @@
 	"github.com/windscale/windscale/internal/edge/state"
 )
 
-// kind is whose load a report tells.
+// kind tells whose load a report contains.
 type kind int
 
 const (
 	kindOwn    kind = iota // the sender's
-	kindSum                // of the sender's data centre
-	kindTotal              // of the fleet
-	kindUpdate             // none: it tells what has changed of the sender's view
-	kinds
+	kindSum                // that of the sender's data centre
+	kindTotal              // that of the fleet
+	kindUpdate             // none; the report contains changes of the sender's view
+	kindCount
 )
 
-// String returns the kind's name, for metrics.
+// String returns the name of the kind for metrics.
 func (k kind) String() string { return [...]string{"own", "sum", "total", "update"}[k] }
 
-// What loads and rates are rounded to on their way, tokens and tokens a second: three
-// bytes for each in place of five.
+// Loads are sent in multiples of these units (tokens), rates in multiples of rateUnit (tokens per
+// second). A value takes three bytes instead of five.
 const (
 	waitingUnit = 16
 	memoryUnit  = 64
 	rateUnit    = 16
 )
 
-// Bounds of a heartbeat's parts, so that it fits into a datagram at any size of the fleet. What is
-// left out is counted.
+// Limits of the parts of a heartbeat, so that it fits into a datagram at any size of the fleet.
+// Entries that are left out are counted.
 const (
-	loadsMost = 1024 // servers, 14 bytes each: those with the longest queues
-	ratesMost = 512  // customers, 16 bytes each: those that ask for most
-	sentParts = 1024 // parts of prompts, 5 bytes each and a server's key
-	headsMost = 64   // routers, 40 bytes each
+	maxLoads     = 1024 // servers, 14 bytes each; those with the longest queues are kept
+	maxRates     = 512  // customers, 16 bytes each; those with the highest demand are kept
+	maxSentParts = 1024 // parts of prompts, 5 bytes each plus the key of a server
+	maxTopRanked = 64   // routers, 40 bytes each
 )
 
-// protocol is told by each release that knows updates and digests; releases before it tell none.
-const protocol = 1
+// protocolVersion is sent by releases that support updates and digests. Earlier releases send none.
+const protocolVersion = 1
 
-// heartbeat is a datagram. Servers go by their keys: 14 bytes for each with its load,
-// 24 by their IDs and to the token.
+// heartbeat is the content of a datagram. Servers are identified by their keys: an entry with its
+// load takes 14 bytes, compared to 24 with the ID and exact token counts.
 type heartbeat struct {
-	Control    string                         `cbor:"1,keyasint"` // the sender's control address
-	DataCentre string                         `cbor:"2,keyasint"`
-	Kind       kind                           `cbor:"3,keyasint,omitempty"`
-	Version    int64                          `cbor:"4,keyasint"` // of its configuration
-	List       uint64                         `cbor:"5,keyasint"` // the store's version of its list of servers
-	Edits      uint32                         `cbor:"6,keyasint,omitempty"`
-	AgeMs      int64                          `cbor:"7,keyasint"`            // of its last answer of the store
-	Loads      map[routing.ServerKey][3]int64 `cbor:"8,keyasint,omitempty"`  // waiting, memory, running; in units
-	Rates      map[string][2]int64            `cbor:"9,keyasint,omitempty"`  // customer: asked, served; in units
-	Known      []knownRouter                  `cbor:"10,keyasint,omitempty"` // live routers
-	Cores      float64                        `cbor:"11,keyasint,omitempty"` // processor time of the sender's host
-	FollowedMs int64                          `cbor:"12,keyasint,omitempty"` // for how long it has followed the store
-	Sent       pick.Sent                      `cbor:"13,keyasint,omitempty"` // parts of prompts sent to servers
-	Suspects   map[routing.ServerKey]int      `cbor:"14,keyasint,omitempty"` // routers that suspect a server
-	Firsts     map[string][5]float32          `cbor:"15,keyasint,omitempty"` // service: sums over first tokens
-	Ends       []contentCrashes               `cbor:"16,keyasint,omitempty"` // contents under which servers ended
-	Era        uint64                         `cbor:"17,keyasint,omitempty"` // the store's era of its list of servers
-	// Evac and EvacEra are the store's version and era of the sender's evacuations.
-	Evac      uint64                    `cbor:"18,keyasint,omitempty"`
-	EvacEra   uint64                    `cbor:"19,keyasint,omitempty"`
-	Evacuated []string                  `cbor:"20,keyasint,omitempty"` // data centres
-	EvacKept  map[string]int64          `cbor:"21,keyasint,omitempty"` // others that count as such for so long, ms
-	EvacEnded map[string]int64          `cbor:"22,keyasint,omitempty"` // how long ago each was taken back, ms
-	Unreached map[routing.ServerKey]int `cbor:"23,keyasint,omitempty"` // routers that can't connect to a server
-
-	Protocol int                      `cbor:"24,keyasint,omitempty"`
-	Fleet    int                      `cbor:"25,keyasint,omitempty"` // how many routers the sender knows of
-	Digests  map[string]spread.Digest `cbor:"26,keyasint,omitempty"` // of the live routers of data centres
-	Joined   []knownRouter            `cbor:"27,keyasint,omitempty"` // of these, those that are new
-	Left     []knownRouter            `cbor:"28,keyasint,omitempty"`
-	Changes  cbor.RawMessage          `cbor:"29,keyasint,omitempty"` // of the list of servers: listChange
-	Joining  bool                     `cbor:"30,keyasint,omitempty"` // the sender looks for its first view
-	Answer   bool                     `cbor:"31,keyasint,omitempty"` // to a heartbeat
-	Sources  []string                 `cbor:"32,keyasint,omitempty"` // routers that give their view to the receiver
-	Light    map[string]int           `cbor:"33,keyasint,omitempty"` // requests at servers that are left out, by service
+	ControlAddr   string                         `cbor:"1,keyasint"` // of the sender
+	DataCentre    string                         `cbor:"2,keyasint"`
+	Kind          kind                           `cbor:"3,keyasint,omitempty"`
+	ConfigVersion int64                          `cbor:"4,keyasint"` // of the sender's configuration
+	ListVersion   uint64                         `cbor:"5,keyasint"` // store version of the sender's server list
+	ListEdits     uint32                         `cbor:"6,keyasint,omitempty"`
+	ViewAgeMs     int64                          `cbor:"7,keyasint"`            // age of the sender's last store answer
+	Loads         map[routing.ServerKey][3]int64 `cbor:"8,keyasint,omitempty"`  // waiting, memory, running; in units
+	Rates         map[string][2]int64            `cbor:"9,keyasint,omitempty"`  // customer: demand, served; in units
+	Known         []knownRouter                  `cbor:"10,keyasint,omitempty"` // live routers
+	Cores         float64                        `cbor:"11,keyasint,omitempty"` // processor capacity of the sender's host
+	FollowedMs    int64                          `cbor:"12,keyasint,omitempty"` // how long the sender has followed the store
+	Sent          pick.Sent                      `cbor:"13,keyasint,omitempty"` // parts of prompts sent to servers
+	Suspects      map[routing.ServerKey]int      `cbor:"14,keyasint,omitempty"` // number of routers that suspect a server
+	FirstTokens   map[string][5]float32          `cbor:"15,keyasint,omitempty"` // by service: sums over first tokens
+	Crashes       []contentCrashes               `cbor:"16,keyasint,omitempty"` // contents under which servers crashed
+	ListEra       uint64                         `cbor:"17,keyasint,omitempty"` // store era of the sender's server list
+	// EvacVersion and EvacEra are the store version and era of the sender's evacuations.
+	EvacVersion uint64                    `cbor:"18,keyasint,omitempty"`
+	EvacEra     uint64                    `cbor:"19,keyasint,omitempty"`
+	Evacuated   []string                  `cbor:"20,keyasint,omitempty"` // data centres
+	EvacKept    map[string]int64          `cbor:"21,keyasint,omitempty"` // other data centres that still count as evacuated, and for how long, in ms
+	EvacEnded   map[string]int64          `cbor:"22,keyasint,omitempty"` // how long ago each evacuation was taken back, in ms
+	Unreached   map[routing.ServerKey]int `cbor:"23,keyasint,omitempty"` // number of routers that cannot connect to a server
+
+	Protocol  int                      `cbor:"24,keyasint,omitempty"`
+	FleetSize int                      `cbor:"25,keyasint,omitempty"` // number of routers that the sender knows
+	Digests   map[string]spread.Digest `cbor:"26,keyasint,omitempty"` // of the live routers, by data centre
+	Joined    []knownRouter            `cbor:"27,keyasint,omitempty"` // live routers that are new
+	Left      []knownRouter            `cbor:"28,keyasint,omitempty"`
+	Changes   cbor.RawMessage          `cbor:"29,keyasint,omitempty"` // of the server list: a listChange
+	Joining   bool                     `cbor:"30,keyasint,omitempty"` // the sender is looking for its first view
+	Answer    bool                     `cbor:"31,keyasint,omitempty"` // the heartbeat answers another one
+	Sources   []string                 `cbor:"32,keyasint,omitempty"` // routers that serve their view to the receiver
+	Light     map[string]int           `cbor:"33,keyasint,omitempty"` // requests at servers that are left out of Loads, by service
 
 	Rollouts []wireRollout `cbor:"34,keyasint,omitempty"`
-	// Evidence on new versions is of the sender, or of its data centre; EvidenceFar, that a reporter
-	// tells the other one, of other data centres.
-	Evidence    []wireSample `cbor:"35,keyasint,omitempty"`
-	EvidenceFar []wireSample `cbor:"36,keyasint,omitempty"`
+	// Evidence is the evidence on new versions from the sender or its data centre. RemoteEvidence is
+	// that of other data centres, which a reporter sends to the other reporter.
+	Evidence       []wireSample `cbor:"35,keyasint,omitempty"`
+	RemoteEvidence []wireSample `cbor:"36,keyasint,omitempty"`
 }
 
-// knownRouter is a live router that the sender vouches for.
+// knownRouter is a router that the sender reports as live.
 type knownRouter struct {
 	_          struct{} `cbor:",toarray"`
 	Addr       string
 	DataCentre string
-	AgeMs      int64 // of the last report of it
+	AgeMs      int64 // of the last report of the router
 	Cores      float32
 }
 
-// member returns the router.
 func (k knownRouter) member() spread.Member {
 	return spread.Member{Addr: k.Addr, DataCentre: k.DataCentre, Cores: k.Cores}
 }
 
-// age is how long ago the last report of it was.
+// age returns the time since the last report of the router.
 func (k knownRouter) age() time.Duration { return time.Duration(k.AgeMs) * time.Millisecond }
 
-// membersOf returns the routers.
-func membersOf(list []knownRouter) (members []spread.Member) {
+func toMembers(list []knownRouter) (members []spread.Member) {
 	for _, k := range list {
 		members = append(members, k.member())
 	}
 	return members
 }
 
-// knownOf is the other way.
-func knownOf(members []spread.Member) (list []knownRouter) {
+func toKnownRouters(members []spread.Member) (list []knownRouter) {
 	for _, m := range members {
 		list = append(list, knownRouter{Addr: m.Addr, DataCentre: m.DataCentre, Cores: m.Cores})
 	}
 	return list
 }
 
-// heardReport is what a report said of loads.
-type heardReport struct {
-	at     time.Time
-	kind   kind
-	report state.Report
+// receivedReport is the load report in a heartbeat.
+type receivedReport struct {
+	receivedAt time.Time
+	kind       kind
+	report     state.Report
 }
 
-// key is under whose name a report's load counts: the sum of a data centre and
-// the total are the same from each reporter.
-func (w heartbeat) key() string {
+// reportKey returns the key under which the report is stored. The sum of a data centre and the
+// total have the same key from every reporter, since they replace each other.
+func (w heartbeat) reportKey() string {
 	switch w.Kind {
 	case kindSum:
 		return "sum of " + w.DataCentre
 	case kindTotal:
 		return "total"
 	}
-	return w.Control
+	return w.ControlAddr
 }
 
-// stamp is that of the sender's list of servers.
+// stamp returns the stamp of the sender's server list.
 func (w heartbeat) stamp() roster.Stamp {
-	return roster.Stamp{Era: w.Era, Version: w.List, Edits: w.Edits}
+	return roster.Stamp{Era: w.ListEra, Version: w.ListVersion, Edits: w.ListEdits}
 }
 
-// sender returns the router that sent it.
 func (w heartbeat) sender() spread.Member {
-	return spread.Member{Addr: w.Control, DataCentre: w.DataCentre, Cores: float32(w.Cores)}
+	return spread.Member{Addr: w.ControlAddr, DataCentre: w.DataCentre, Cores: float32(w.Cores)}
 }
 
-// evacuations are the sender's, as they were when the heartbeat came.
+// evacuations returns the sender's evacuations and their stamp, for a heartbeat that has waited on
+// this host for the given time.
 func (w heartbeat) evacuations(waited time.Duration) (evacuation.Told, roster.Stamp) {
-	t := evacuation.Told{Rows: w.Evacuated, Kept: ofMillis(w.EvacKept, 0), Ended: ofMillis(w.EvacEnded, waited)}
-	return t, roster.Stamp{Era: w.EvacEra, Version: w.Evac}
+	t := evacuation.Told{Rows: w.Evacuated, Kept: fromMillis(w.EvacKept, 0), Ended: fromMillis(w.EvacEnded, waited)}
+	return t, roster.Stamp{Era: w.EvacEra, Version: w.EvacVersion}
 }
 
-// setEvacuations has the heartbeat tell this router's evacuations.
-func (w *heartbeat) setEvacuations(t evacuation.Told, as roster.Stamp) {
-	w.Evac = as.Version
-	w.EvacEra = as.Era
+// setEvacuations sets this router's evacuations.
+func (w *heartbeat) setEvacuations(t evacuation.Told, stamp roster.Stamp) {
+	w.EvacVersion = stamp.Version
+	w.EvacEra = stamp.Era
 	w.Evacuated = t.Rows
-	w.EvacKept = inMillis(t.Kept)
-	w.EvacEnded = inMillis(t.Ended)
+	w.EvacKept = toMillis(t.Kept)
+	w.EvacEnded = toMillis(t.Ended)
 }
 
-// ofMillis is the other way of inMillis, with what has passed on the way.
-func ofMillis(m map[string]int64, passed time.Duration) map[string]time.Duration {
+// fromMillis is the inverse of toMillis and adds the elapsed time.
+func fromMillis(m map[string]int64, elapsed time.Duration) map[string]time.Duration {
 	if len(m) == 0 {
 		return nil
 	}
 	all := make(map[string]time.Duration, len(m))
 	for key, ms := range m {
-		all[key] = time.Duration(ms)*time.Millisecond + passed
+		all[key] = time.Duration(ms)*time.Millisecond + elapsed
 	}
 	return all
 }
 
-func inMillis(m map[string]time.Duration) map[string]int64 {
+func toMillis(m map[string]time.Duration) map[string]int64 {
 	if len(m) == 0 {
 		return nil
 	}
@@ -197,7 +194,7 @@
 	return ms
 }
 
-// report returns what a heartbeat tells that has waited here for so long.
+// report decodes the report of a heartbeat that has waited on this host for the given time.
 func (w heartbeat) report(waited time.Duration) state.Report {
 	r := state.NewReport()
 	for key, l := range w.Loads {
@@ -220,82 +217,82 @@
 	if w.Light != nil {
 		r.Light = w.Light
 	}
-	r.Crashes = readCrashes(w.Ends, waited)
-	r.Evidence = evidenceOf(w.Evidence)
-	if len(w.Firsts) > 0 {
-		r.Firsts = make(map[string]pick.FirstTokens, len(w.Firsts))
+	r.Crashes = crashesFromWire(w.Crashes, waited)
+	r.Evidence = evidenceFromWire(w.Evidence)
+	if len(w.FirstTokens) > 0 {
+		r.Firsts = make(map[string]pick.FirstTokens, len(w.FirstTokens))
 	}
-	for service, f := range w.Firsts {
+	for service, f := range w.FirstTokens {
 		r.Firsts[service] = pick.FirstTokens{N: float64(f[0]), X: float64(f[1]), Y: float64(f[2]), XX: float64(f[3]), XY: float64(f[4])}
 	}
 	return r
 }
 
-// units is how many units an amount is, rounded to the nearest.
+// units converts an amount to units, rounded to the nearest one.
 func units(amount, unit int64) int64 { return (amount + unit/2) / unit }
 
-// heartbeat makes a heartbeat of this router.
-func (p *Peers) heartbeat(k kind, r state.Report, known []knownRouter) heartbeat {
+// newHeartbeat returns a heartbeat of this router.
+func (p *Peers) newHeartbeat(k kind, r state.Report, known []knownRouter) heartbeat {
 	_, age := p.State.Table()
 	stamp := p.State.Stamp()
 	w := heartbeat{
-		Control:    p.Self.Addr,
-		DataCentre: p.Self.DataCentre,
-		Cores:      float64(p.Self.Cores),
-		FollowedMs: p.State.Followed().Milliseconds(),
-		Kind:       k,
-		Version:    p.State.Version(),
-		List:       stamp.Version,
-		Edits:      stamp.Edits,
-		Era:        stamp.Era,
-		AgeMs:      min(age, time.Hour).Milliseconds(),
-		Known:      known[:min(len(known), max(headsMost, p.knownMost()))],
-		Ends:       wireCrashes(r.Crashes),
-		Light:      r.Light,
-		Protocol:   protocol,
+		ControlAddr:   p.Self.Addr,
+		DataCentre:    p.Self.DataCentre,
+		Cores:         float64(p.Self.Cores),
+		FollowedMs:    p.State.Followed().Milliseconds(),
+		Kind:          k,
+		ConfigVersion: p.State.Version(),
+		ListVersion:   stamp.Version,
+		ListEdits:     stamp.Edits,
+		ListEra:       stamp.Era,
+		ViewAgeMs:     min(age, time.Hour).Milliseconds(),
+		Known:         known[:min(len(known), max(maxTopRanked, p.maxKnownRouters()))],
+		Crashes:       crashesToWire(r.Crashes),
+		Light:         r.Light,
+		Protocol:      protocolVersion,
 	}
 	w.setEvacuations(p.State.EvacuationsTold())
-	w.Rollouts = wireRollouts(p.State.Rollouts())
-	w.Evidence = wireEvidence(r.Evidence)
+	w.Rollouts = rolloutsToWire(p.State.Rollouts())
+	w.Evidence = evidenceToWire(r.Evidence)
 	w.setSent(r.Sent, &p.Stats)
 	w.setLoads(r.Loads, &p.Stats)
 	w.setRates(r.Rates, &p.Stats)
 	if len(r.Firsts) > 0 {
-		w.Firsts = make(map[string][5]float32, len(r.Firsts))
+		w.FirstTokens = make(map[string][5]float32, len(r.Firsts))
 	}
 	for service, f := range r.Firsts {
-		w.Firsts[service] = [5]float32{float32(f.N), float32(f.X), float32(f.Y), float32(f.XX), float32(f.XY)}
+		w.FirstTokens[service] = [5]float32{float32(f.N), float32(f.X), float32(f.Y), float32(f.XX), float32(f.XY)}
 	}
 	return w
 }
 
-// setSent tells parts sent to servers, as many as there is room for.
+// setSent sets the parts sent to servers, up to maxSentParts.
 func (w *heartbeat) setSent(sent pick.Sent, stats *Stats) {
 	parts := 0
 	for _, keys := range sent {
 		parts += len(keys)
 	}
-	if parts <= sentParts {
+	if parts <= maxSentParts {
 		w.Sent = sent
 		return
 	}
 	w.Sent = pick.Sent{}
-	told := 0
+	kept := 0
 	for _, server := range slices.Sorted(maps.Keys(sent)) {
 		keys := sent[server]
-		if told+len(keys) <= sentParts {
+		if kept+len(keys) <= maxSentParts {
 			w.Sent[server] = keys
-			told += len(keys)
+			kept += len(keys)
 		}
 	}
-	stats.leaveOut(partParts, parts-told)
+	stats.countTruncated(partSentParts, parts-kept)
 }
 
-// setLoads tells servers' loads, those with the longest queues if there are more than there is
-// room for; that routers suspect a server or can't reach it is told first.
+// setLoads sets the loads of up to maxLoads servers: first those that routers suspect or cannot
+// reach, then those with the longest queues.
 func (w *heartbeat) setLoads(loads map[routing.ServerKey]pick.Load, stats *Stats) {
 	keys := slices.Collect(maps.Keys(loads))
-	if len(keys) > loadsMost {
+	if len(keys) > maxLoads {
 		slices.SortFunc(keys, func(a, b routing.ServerKey) int {
 			x, y := loads[a], loads[b]
 			return cmp.Or(
@@ -305,8 +302,8 @@
 				cmp.Compare(a, b),
 			)
 		})
-		stats.leaveOut(partLoads, len(keys)-loadsMost)
-		keys = keys[:loadsMost]
+		stats.countTruncated(partLoads, len(keys)-maxLoads)
+		keys = keys[:maxLoads]
 	}
 	w.Loads = make(map[routing.ServerKey][3]int64, len(keys))
 	for _, key := range keys {
@@ -314,13 +311,13 @@
 		if l.Waiting != 0 || l.Memory != 0 || l.Running != 0 {
 			w.Loads[key] = [3]int64{units(l.Waiting, waitingUnit), units(l.Memory, memoryUnit), int64(l.Running)}
 		}
-		w.Suspects = with(w.Suspects, key, l.Suspects)
-		w.Unreached = with(w.Unreached, key, l.Unreached)
+		w.Suspects = withCount(w.Suspects, key, l.Suspects)
+		w.Unreached = withCount(w.Unreached, key, l.Unreached)
 	}
 }
 
-// with returns the counts with one more, if it is not 0.
-func with(counts map[routing.ServerKey]int, key routing.ServerKey, n int) map[routing.ServerKey]int {
+// withCount adds a count to the map unless it is 0. It creates the map if needed.
+func withCount(counts map[routing.ServerKey]int, key routing.ServerKey, n int) map[routing.ServerKey]int {
 	if n == 0 {
 		return counts
 	}
@@ -331,16 +328,15 @@
 	return counts
 }
 
-// setRates tells customers' rates, those that ask for most if there are more than there is room
-// for.
+// setRates sets the rates of up to maxRates customers, those with the highest demand.
 func (w *heartbeat) setRates(rates map[string]fair.Rates, stats *Stats) {
 	names := slices.Collect(maps.Keys(rates))
-	if len(names) > ratesMost {
+	if len(names) > maxRates {
 		slices.SortFunc(names, func(a, b string) int {
 			return cmp.Or(cmp.Compare(rates[b].Demand, rates[a].Demand), cmp.Compare(a, b))
 		})
-		stats.leaveOut(partRates, len(names)-ratesMost)
-		names = names[:ratesMost]
+		stats.countTruncated(partRates, len(names)-maxRates)
+		names = names[:maxRates]
 	}
 	w.Rates = make(map[string][2]int64, len(names))
 	for _, name := range names {
--- a/internal/edge/peers/join.go
+++ b/internal/edge/peers/join.go
@@ -23,42 +23,44 @@
 )
 
 const (
-	// joinEvery is how often a router that starts looks what it has to do.
-	joinEvery = 25 * time.Millisecond
-	// giveMost is to how many routers one gives its view at a time: each takes some milliseconds
-	// of a processor, and others that have it can give it too.
-	giveMost = 16
-	// copiesEach is how many routers of another data centre are given the view from here; the
-	// others have it from them.
-	copiesEach = 2
-	// sourcesMost is how many routers that have the view are named at a time, and remembered
-	// of each data centre sourcesKept, for sourceFor.
-	sourcesMost = 4
-	sourcesKept = 64
-	sourceFor   = 10 * time.Second
-	// referredFor is how long a router that was sent here for its view may take to fetch it.
-	referredFor = time.Second
-	// offersEach is how many routers are told at a time that this one has its view.
-	offersEach = 64
+	// joinInterval is the time between two steps of a router that joins.
+	joinInterval = 25 * time.Millisecond
+	// maxActiveViews is the number of routers to which this one sends its view at a time: each
+	// takes some milliseconds of processor time, and other routers that have the view can serve it
+	// too.
+	maxActiveViews = 16
+	// maxReferrals is the number of routers of another data centre that are sent the view from here
+	// within referralTimeout. The other routers there get it from them.
+	maxReferrals = 2
+	// maxSourcesNamed is the number of routers with the view that are named at a time. For each
+	// data centre maxSourcesKept of them are remembered, for sourceLifetime.
+	maxSourcesNamed = 4
+	maxSourcesKept  = 64
+	sourceLifetime  = 10 * time.Second
+	// referralTimeout is how long a router that was referred to this one may take to fetch its
+	// view.
+	referralTimeout = time.Second
+	// maxOffersPerStep is the number of routers to which this one offers its view in one step.
+	maxOffersPerStep = 64
 )
 
-// joinView is what a router that starts is given by another: all that it needs to
-// serve. It spares the store two reads and two calls that wait.
+// joinView is the view that a joining router gets from another one: everything it needs to serve.
+// It saves the store two reads and two long polls.
 type joinView struct {
-	_       struct{}         `cbor:",toarray"`
-	Raw     []byte           // the configuration as the operator wrote it
-	List    cbor.RawMessage  // listChange, whole
-	AgeMs   int64            // of the store's last answer on which it rests
-	Routers []memberList     // live ones, the sender among them
-	Ends    []contentCrashes // blocked contents, and those that may be soon
-	AllEnds bool             // the sender knows what the store had of them when it started
-	// Evacuations are the sender's, as of the stamp.
-	Evacuations   evacuation.Told
-	EvacuationsAs roster.Stamp
-	Rollouts      []wireRollout
+	_          struct{}         `cbor:",toarray"`
+	Raw        []byte           // the configuration as the operator wrote it
+	List       cbor.RawMessage  // a full listChange
+	AgeMs      int64            // of the store answer that the view is based on
+	Routers    []memberList     // live routers, including the sender
+	Crashes    []contentCrashes // contents that are blocked or may be soon
+	AllCrashes bool             // the sender has read the blocked contents from the store
+	// Evacuations are those of the sender, as of EvacuationsStamp.
+	Evacuations      evacuation.Told
+	EvacuationsStamp roster.Stamp
+	Rollouts         []wireRollout
 }
 
-// NoViewError says that a router has no view that is young enough to be given.
+// NoViewError means that a router has no view, or one that is too old to be served.
 type NoViewError struct{ AgeMs int64 }
 
 // Error implements error.
@@ -66,77 +68,78 @@
 
 // source is a router that has the view.
 type source struct {
-	addr string
-	at   time.Time // when it was given it, or said that it has it
+	addr     string
+	servedAt time.Time // when it was sent the view
 }
 
-// giving is what a router remembers of those that ask it for a view.
-type giving struct {
-	active   int                    // fetches in progress
-	sources  map[string][]source    // by data centre
-	referred map[string][]time.Time // when routers of another data centre were sent here
-	waiting  map[string]string      // routers that were told of no view, and their data centres
-	mu       sync.Mutex
-	rendered []byte // the whole list as of renderedAs
-	as       roster.Stamp
+// viewServing tracks the routers that ask this one for a view.
+type viewServing struct {
+	active       int                    // views being sent
+	sources      map[string][]source    // by data centre
+	referrals    map[string][]time.Time // by data centre: when its routers were referred to this one
+	waiting      map[string]string      // joining routers without a source, and their data centres
+	listMu       sync.Mutex             // guards encodedList and encodedStamp
+	encodedList  []byte                 // the whole server list as of encodedStamp
+	encodedStamp roster.Stamp
 }
 
-func newGiving() giving {
-	return giving{sources: map[string][]source{}, referred: map[string][]time.Time{}, waiting: map[string]string{}}
+func newViewServing() viewServing {
+	return viewServing{sources: map[string][]source{}, referrals: map[string][]time.Time{}, waiting: map[string]string{}}
 }
 
-// has notes that a router has the view.
-func (g *giving) has(dataCentre, addr string, now time.Time) {
-	list := slices.DeleteFunc(g.sources[dataCentre], func(s source) bool { return s.addr == addr || now.Sub(s.at) > sourceFor })
-	if len(list) >= sourcesKept {
+// addSource records that a router has the view.
+func (v *viewServing) addSource(dataCentre, addr string, now time.Time) {
+	list := slices.DeleteFunc(v.sources[dataCentre], func(s source) bool { return s.addr == addr || now.Sub(s.servedAt) > sourceLifetime })
+	if len(list) >= maxSourcesKept {
 		list = list[1:]
 	}
-	g.sources[dataCentre] = append(list, source{addr, now})
+	v.sources[dataCentre] = append(list, source{addr, now})
 }
 
-// some returns a few routers of the data centre that have the view, drawn at random.
-func (g *giving) some(dataCentre, but string, rng *rand.Rand, now time.Time) (addrs []string) {
-	for _, s := range g.sources[dataCentre] {
-		if s.addr != but && now.Sub(s.at) <= sourceFor {
+// randomSources returns up to maxSourcesNamed random routers of the data centre that have the view.
+func (v *viewServing) randomSources(dataCentre, except string, rng *rand.Rand, now time.Time) (addrs []string) {
+	for _, s := range v.sources[dataCentre] {
+		if s.addr != except && now.Sub(s.servedAt) <= sourceLifetime {
 			addrs = append(addrs, s.addr)
 		}
 	}
 	rng.Shuffle(len(addrs), func(a, b int) { addrs[a], addrs[b] = addrs[b], addrs[a] })
-	return addrs[:min(len(addrs), sourcesMost)]
+	return addrs[:min(len(addrs), maxSourcesNamed)]
 }
 
-// refer reports whether one more router of another data centre may fetch the view from here.
-func (g *giving) refer(dataCentre string, now time.Time) bool {
-	list := slices.DeleteFunc(g.referred[dataCentre], func(at time.Time) bool { return now.Sub(at) > referredFor })
-	if len(list) >= copiesEach {
-		g.referred[dataCentre] = list
+// allowReferral reports whether one more router of another data centre may fetch the view from
+// here, and counts it.
+func (v *viewServing) allowReferral(dataCentre string, now time.Time) bool {
+	list := slices.DeleteFunc(v.referrals[dataCentre], func(at time.Time) bool { return now.Sub(at) > referralTimeout })
+	if len(list) >= maxReferrals {
+		v.referrals[dataCentre] = list
 		return false
 	}
-	g.referred[dataCentre] = append(list, now)
+	v.referrals[dataCentre] = append(list, now)
 	return true
 }
 
-// hasView returns nil if this router has a view that is young enough to be given.
-func (p *Peers) hasView() error {
+// checkView returns nil if this router has a view that is recent enough to be served.
+func (p *Peers) checkView() error {
 	_, age := p.State.Table()
-	if !p.State.Ready() || age > viewOld {
+	if !p.State.Ready() || age > maxViewAge {
 		return &NoViewError{AgeMs: min(age, time.Hour).Milliseconds()}
 	}
 	return nil
 }
 
-// Joined returns once the first view has been sought from other routers, found or not.
-func (p *Peers) Joined(ctx context.Context) {
+// WaitJoined blocks until the search for a first view ends, successful or not, or ctx ends.
+func (p *Peers) WaitJoined(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-p.joined:
 	}
 }
 
-// Sought returns a channel that is closed then.
-func (p *Peers) Sought() <-chan struct{} { return p.joined }
+// JoinDone returns a channel that is closed when the search for a first view ends.
+func (p *Peers) JoinDone() <-chan struct{} { return p.joined }
 
-// Join begins to ask the seeds for a view. firstStart says that the whole fleet starts for the
+// Join begins to ask the seeds for a view. firstStart means that the whole fleet starts for the
 // first time.
 func (p *Peers) Join(seeds []string, firstStart bool) {
 	p.mu.Lock()
@@ -144,7 +147,7 @@
 	p.join = join.New(p.Self.Addr, seeds, firstStart, p.rng, p.Now())
 }
 
-// stepJoin does what is due of a start, and reports whether it goes on.
+// stepJoin does the work of a join that is due, and reports whether the join is still in progress.
 func (p *Peers) stepJoin(now time.Time) bool {
 	p.mu.Lock()
 	if p.join == nil {
@@ -157,12 +160,12 @@
 		close(p.joined)
 		return false
 	}
-	ask, from := p.join.Ask(now), p.join.Fetch()
+	seed, from := p.join.Ask(now), p.join.Fetch()
 	p.mu.Unlock()
-	if ask != "" {
-		w := p.heartbeat(kindOwn, state.NewReport(), nil)
+	if seed != "" {
+		w := p.newHeartbeat(kindOwn, state.NewReport(), nil)
 		w.Joining = true
-		p.send([]string{ask}, w)
+		p.send([]string{seed}, w)
 	}
 	if from != "" {
 		p.fetchView(from)
@@ -170,35 +173,35 @@
 	return true
 }
 
-// fetchView fetches a router's view.
+// fetchView fetches the view of a router.
 func (p *Peers) fetchView(from string) {
 	began := p.Now()
 	query := url.Values{"dc": {p.Self.DataCentre}, "addr": {p.Self.Addr}}
-	p.Net.Fetch(from, pathJoin+"?"+query.Encode(), func(text []byte, err error) {
-		if isMissing(err) { // a router of the release before
-			p.Net.Fetch(from, pathView, func(text []byte, err error) {
+	p.Net.Fetch(from, pathJoin+"?"+query.Encode(), func(data []byte, err error) {
+		if isNotFound(err) { // a router of the previous release
+			p.Net.Fetch(from, pathView, func(data []byte, err error) {
 				if err == nil {
-					err = p.takeOlderView(text, p.Now().Sub(began))
+					err = p.applyOlderView(data, p.Now().Sub(began))
 				}
-				p.viewFetched(from, began, err)
+				p.onViewFetched(from, began, err)
 			})
 			return
 		}
-		p.Stats.fetched.add(1, len(text))
+		p.Stats.fetched.add(1, len(data))
 		if err == nil {
-			err = p.takeView(text, p.Now().Sub(began))
+			err = p.applyView(data, p.Now().Sub(began))
 		}
-		p.viewFetched(from, began, err)
+		p.onViewFetched(from, began, err)
 	})
 }
 
-// viewFetched notes what came of a fetch.
-func (p *Peers) viewFetched(from string, began time.Time, err error) {
+// onViewFetched handles the result of a fetch of a view.
+func (p *Peers) onViewFetched(from string, began time.Time, err error) {
 	now := p.Now()
 	var others []string
-	if busy, ok := err.(*StatusError); ok && busy.Status == http.StatusServiceUnavailable {
-		// One that names no others has no view any more.
-		_ = cbor.Unmarshal(busy.Body, &others)
+	if refused, ok := err.(*StatusError); ok && refused.Status == http.StatusServiceUnavailable {
+		// A router that names no others no longer has a view.
+		_ = cbor.Unmarshal(refused.Body, &others)
 	}
 	if err == nil {
 		events.ViewFound.Log(context.Background(), p.Log, slog.LevelInfo, "peer", from, "config", p.State.Version(), "servers", p.State.ServerCount(), "tookMs", now.Sub(began).Milliseconds())
@@ -212,45 +215,46 @@
 	}
 }
 
-// takeHello answers a router that starts.
-func (p *Peers) takeHello(w heartbeat, now time.Time) {
-	has := p.hasView() == nil
+// handleJoinRequest answers a router that joins.
+func (p *Peers) handleJoinRequest(w heartbeat, now time.Time) {
+	hasView := p.checkView() == nil
 	p.mu.Lock()
 	p.spread.ObserveDirect(w.sender(), now)
 	var sources []string
-	if has {
+	if hasView {
 		sources = p.sourcesFor(w, now)
 	}
 	if len(sources) == 0 {
-		p.give.waiting[w.Control] = w.DataCentre
+		p.serving.waiting[w.ControlAddr] = w.DataCentre
 	}
 	p.mu.Unlock()
-	p.answer(w.Control, sources)
+	p.sendAnswer(w.ControlAddr, sources)
 }
 
-// sourcesFor returns routers that give their views to one that starts: those of its data centre,
-// so that a view crosses to another one once or twice, or this one. The lock is held.
+// sourcesFor returns the routers that may serve their views to a joining router, or this one. It
+// prefers routers of the same data centre, so that a view is sent to another data centre only once
+// or twice. The caller must hold p.mu.
 func (p *Peers) sourcesFor(w heartbeat, now time.Time) []string {
-	near := w.DataCentre == p.Self.DataCentre
-	sources := p.give.some(w.DataCentre, w.Control, p.rng, now)
-	if near && p.give.active < giveMost/2 {
+	isLocal := w.DataCentre == p.Self.DataCentre
+	sources := p.serving.randomSources(w.DataCentre, w.ControlAddr, p.rng, now)
+	if isLocal && p.serving.active < maxActiveViews/2 {
 		sources = append([]string{p.Self.Addr}, sources...)
 	}
 	if len(sources) > 0 {
-		return sources[:min(len(sources), sourcesMost)]
+		return sources[:min(len(sources), maxSourcesNamed)]
 	}
-	if near || p.give.refer(w.DataCentre, now) {
+	if isLocal || p.serving.allowReferral(w.DataCentre, now) {
 		return []string{p.Self.Addr}
 	}
 	return nil
 }
 
-// giveOffers tells routers that have asked in vain that this one has its view now.
-func (p *Peers) giveOffers(now time.Time) {
+// sendOffers offers this router's view to the joining routers that had no source so far.
+func (p *Peers) sendOffers(now time.Time) {
 	p.mu.Lock()
-	waits := len(p.give.waiting) > 0
+	hasWaiting := len(p.serving.waiting) > 0
 	p.mu.Unlock()
-	if !waits || p.hasView() != nil {
+	if !hasWaiting || p.checkView() != nil {
 		return
 	}
 	type offer struct {
@@ -259,104 +263,105 @@
 	}
 	var offers []offer
 	p.mu.Lock()
-	for _, addr := range slices.Sorted(maps.Keys(p.give.waiting)) {
-		if len(offers) == offersEach {
+	for _, addr := range slices.Sorted(maps.Keys(p.serving.waiting)) {
+		if len(offers) == maxOffersPerStep {
 			break
 		}
-		if sources := p.sourcesFor(heartbeat{Control: addr, DataCentre: p.give.waiting[addr]}, now); len(sources) > 0 {
+		if sources := p.sourcesFor(heartbeat{ControlAddr: addr, DataCentre: p.serving.waiting[addr]}, now); len(sources) > 0 {
 			offers = append(offers, offer{addr, sources})
 		}
-		delete(p.give.waiting, addr) // who has none by then asks again
+		delete(p.serving.waiting, addr) // a router that still has no view asks again
 	}
 	p.mu.Unlock()
 	for _, o := range offers {
-		p.answer(o.to, o.sources)
+		p.sendAnswer(o.to, o.sources)
 	}
 }
 
-// takeOffer takes the answer of a router that was asked for a view.
-func (p *Peers) takeOffer(w heartbeat, now time.Time) {
+// handleOffer handles the answer of a router that was asked for a view.
+func (p *Peers) handleOffer(w heartbeat, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.join == nil {
 		return
 	}
-	p.spread.SetFleetSize(w.Fleet)
-	p.join.Answered(join.Offer{From: w.Control, HasView: w.Version != 0 && w.List != 0, Sources: w.Sources}, now)
+	p.spread.SetFleetSize(w.FleetSize)
+	p.join.Answered(join.Offer{From: w.ControlAddr, HasView: w.ConfigVersion != 0 && w.ListVersion != 0, Sources: w.Sources}, now)
 }
 
-// giveView gives this router's view to one that starts.
-func (p *Peers) giveView(query url.Values) given {
+// serveView returns this router's view, or other sources if it is serving too many.
+func (p *Peers) serveView(query url.Values) fetchResponse {
 	now := p.Now()
-	if p.hasView() != nil {
-		return given{status: http.StatusServiceUnavailable}
+	if p.checkView() != nil {
+		return fetchResponse{status: http.StatusServiceUnavailable}
 	}
-	centre, addr := query.Get("dc"), query.Get("addr")
+	dataCentre, addr := query.Get("dc"), query.Get("addr")
 	p.mu.Lock()
-	if p.give.active >= giveMost {
-		others := p.give.some(centre, addr, p.rng, now)
+	if p.serving.active >= maxActiveViews {
+		others := p.serving.randomSources(dataCentre, addr, p.rng, now)
 		p.mu.Unlock()
-		g := p.giveText(cbor.Marshal(others))
-		g.status = http.StatusServiceUnavailable
-		return g
+		resp := p.bodyResponse(cbor.Marshal(others))
+		resp.status = http.StatusServiceUnavailable
+		return resp
 	}
-	p.give.active++
+	p.serving.active++
 	p.mu.Unlock()
-	g := p.giveText(p.ownView())
-	g.done = func() { p.gaveView(centre, addr) }
-	return g
+	resp := p.bodyResponse(p.encodeView())
+	resp.onWritten = func() { p.viewServed(dataCentre, addr) }
+	return resp
 }
 
-// gaveView notes that a router has this one's view.
-func (p *Peers) gaveView(dataCentre, addr string) {
+// viewServed records that a router was sent this one's view.
+func (p *Peers) viewServed(dataCentre, addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.give.active--
-	p.give.has(dataCentre, addr, p.Now())
+	p.serving.active--
+	p.serving.addSource(dataCentre, addr, p.Now())
 }
 
-// ownView renders this router's view.
-func (p *Peers) ownView() ([]byte, error) {
+// encodeView encodes this router's view.
+func (p *Peers) encodeView() ([]byte, error) {
 	_, age := p.State.Table()
-	v := joinView{Raw: p.State.Raw(), AgeMs: age.Milliseconds(), Ends: wireCrashes(p.State.RepeatCrashes()), AllEnds: p.State.KnowsCrashes()}
-	list, err := p.wholeList()
+	v := joinView{Raw: p.State.Raw(), AgeMs: age.Milliseconds(), Crashes: crashesToWire(p.State.RepeatCrashes()), AllCrashes: p.State.KnowsCrashes()}
+	list, err := p.encodeServerList()
 	if err != nil {
 		return nil, err
 	}
 	v.List = list
-	v.Evacuations, v.EvacuationsAs = p.State.EvacuationsTold()
-	v.Rollouts = wireRollouts(p.State.Rollouts())
+	v.Evacuations, v.EvacuationsStamp = p.State.EvacuationsTold()
+	v.Rollouts = rolloutsToWire(p.State.Rollouts())
 	p.mu.Lock()
-	for centre := range p.spread.Digests() {
-		v.Routers = append(v.Routers, packMembers(centre, p.spread.Members(centre)))
+	for dataCentre := range p.spread.Digests() {
+		v.Routers = append(v.Routers, packMembers(dataCentre, p.spread.Members(dataCentre)))
 	}
 	p.mu.Unlock()
 	return cbor.Marshal(v)
 }
 
-// wholeList renders the list of servers. All routers of a data centre may ask for the same one.
-func (p *Peers) wholeList() ([]byte, error) {
-	p.give.mu.Lock()
-	defer p.give.mu.Unlock()
-	if as := p.State.Stamp(); p.give.rendered != nil && as == p.give.as {
-		return p.give.rendered, nil
-	}
-	told, as := p.State.ServersTold()
-	text, err := cbor.Marshal(packWhole(told, as))
+// encodeServerList encodes the server list. The result is cached, since all routers of a data
+// centre may ask for the same list.
+func (p *Peers) encodeServerList() ([]byte, error) {
+	p.serving.listMu.Lock()
+	defer p.serving.listMu.Unlock()
+	if stamp := p.State.Stamp(); p.serving.encodedList != nil && stamp == p.serving.encodedStamp {
+		return p.serving.encodedList, nil
+	}
+	snapshot, stamp := p.State.ServersTold()
+	data, err := cbor.Marshal(packFullList(snapshot, stamp))
 	if err != nil {
 		return nil, err
 	}
-	p.give.rendered, p.give.as = nil, as
-	if len(told.Held)+len(told.Doubtful) == 0 { // else it holds times that pass
-		p.give.rendered = text
+	p.serving.encodedList, p.serving.encodedStamp = nil, stamp
+	if len(snapshot.Held)+len(snapshot.Doubtful) == 0 { // otherwise it contains remaining times, which change
+		p.serving.encodedList = data
 	}
-	return text, nil
+	return data, nil
 }
 
-// takeView takes a router's view, which took so long to come.
-func (p *Peers) takeView(text []byte, took time.Duration) error {
+// applyView applies another router's view, which took the elapsed time to arrive.
+func (p *Peers) applyView(data []byte, elapsed time.Duration) error {
 	var v joinView
-	if err := cbor.Unmarshal(text, &v); err != nil {
+	if err := cbor.Unmarshal(data, &v); err != nil {
 		return err
 	}
 	var list listChange
@@ -371,41 +376,41 @@
 	p.mu.Lock()
 	for _, l := range v.Routers {
 		for _, m := range l.unpack() {
-			p.spread.Observe(m, took, now)
+			p.spread.Observe(m, elapsed, now)
 		}
 	}
 	p.mu.Unlock()
-	p.takeRollouts("first view", v.Rollouts, took)
-	p.putInForce(view{
-		config: c, raw: v.Raw, servers: list.told(), as: list.As, age: time.Duration(v.AgeMs)*time.Millisecond + took,
-		evacuated: v.Evacuations, evacuatedAs: v.EvacuationsAs, crashes: readCrashes(v.Ends, took), allEnds: v.AllEnds,
+	p.applyRollouts("first view", v.Rollouts, elapsed)
+	p.applyFirstView(decodedView{
+		config: c, raw: v.Raw, servers: list.snapshot(), stamp: list.To, age: time.Duration(v.AgeMs)*time.Millisecond + elapsed,
+		evacuated: v.Evacuations, evacuatedStamp: v.EvacuationsStamp, crashes: crashesFromWire(v.Crashes, elapsed), allCrashes: v.AllCrashes,
 	})
 	return nil
 }
 
-// view is another router's, decoded.
-type view struct {
-	config      *routing.Config
-	raw         []byte
-	servers     roster.Snapshot
-	as          roster.Stamp
-	age         time.Duration // of the store's last answer on which it rests
-	evacuated   evacuation.Told
-	evacuatedAs roster.Stamp
-	crashes     []poison.Record
-	allEnds     bool
+// decodedView is the decoded view of another router.
+type decodedView struct {
+	config         *routing.Config
+	raw            []byte
+	servers        roster.Snapshot
+	stamp          roster.Stamp
+	age            time.Duration // of the store answer that the view is based on
+	evacuated      evacuation.Told
+	evacuatedStamp roster.Stamp
+	crashes        []poison.Record
+	allCrashes     bool
 }
 
-// putInForce puts a first view in force.
-func (p *Peers) putInForce(v view) {
+// applyFirstView puts a first view in force.
+func (p *Peers) applyFirstView(v decodedView) {
 	const from = "first view"
-	p.takeEra(from, v.as.Era)
+	p.applyEra(from, v.stamp.Era)
 	p.State.TakeConfig(v.config, v.raw)
-	p.State.EvacuationsToldBy(v.evacuated, v.evacuatedAs).Log(p.Log, from, v.evacuatedAs)
-	p.State.ServersToldBy(v.servers, v.as)
+	p.State.EvacuationsToldBy(v.evacuated, v.evacuatedStamp).Log(p.Log, from, v.evacuatedStamp)
+	p.State.ServersToldBy(v.servers, v.stamp)
 	p.State.Confirm(v.age)
-	p.takeCrashes(from, v.crashes)
-	if v.allEnds {
+	p.applyCrashes(from, v.crashes)
+	if v.allCrashes {
 		p.State.CrashesRead()
 	}
 }
--- a/internal/edge/peers/lists.go
+++ b/internal/edge/peers/lists.go
@@ -9,83 +9,83 @@
 	"github.com/windscale/windscale/internal/core/spread"
 )
 
-// serverList is a list of servers on its way, some 35 bytes for each: names that many servers
-// share stand in a table, and numbers are told by what they lie above the least.
+// serverList is an encoded list of servers, some 35 bytes each. Names that many servers share are
+// in a table, and numbers are encoded as offsets from the minimum.
 type serverList struct {
-	_       struct{} `cbor:",toarray"`
-	Names   []string // of services, data centres and versions
-	Born    int64    // the least of all, but for 0
-	Entry   uint64
-	Servers []listedServer
+	_        struct{} `cbor:",toarray"`
+	Names    []string // of services, data centres and versions
+	MinBorn  int64    // minimum of all, ignoring 0
+	MinEntry uint64   // the same for the entry versions
+	Servers  []listedServer
 }
 
-// listedServer is one of its servers.
+// listedServer is a server of a serverList.
 type listedServer struct {
-	_          struct{} `cbor:",toarray"`
-	ID         string
-	Addr       []byte // of IPv4 and port, six bytes; else as text
-	Service    int    // in Names
-	DataCentre int
-	Slots      int
-	State      routing.ServerState
-	WarmupMs   int64
-	Born       int64  // above the least, plus 1; 0: not told
-	Entry      uint64 // the same
-	Version    int    // in Names
-}
-
-// packServers puts servers into a list.
+	_           struct{} `cbor:",toarray"`
+	ID          string
+	Addr        []byte // six bytes for an IPv4 address and port, otherwise text
+	Service     int    // index in Names
+	DataCentre  int    // index in Names
+	Slots       int
+	State       routing.ServerState
+	WarmupMs    int64
+	BornOffset  int64  // from MinBorn, plus 1; 0 if unknown
+	EntryOffset uint64 // from MinEntry, plus 1; 0 if unknown
+	Version     int    // index in Names
+}
+
+// packServers encodes servers.
 func packServers(servers []routing.Server) serverList {
 	l := serverList{Servers: make([]listedServer, 0, len(servers))}
 	for _, s := range servers {
-		if s.Born != 0 && (l.Born == 0 || s.Born < l.Born) {
-			l.Born = s.Born
+		if s.Born != 0 && (l.MinBorn == 0 || s.Born < l.MinBorn) {
+			l.MinBorn = s.Born
 		}
-		if s.EntryVersion != 0 && (l.Entry == 0 || s.EntryVersion < l.Entry) {
-			l.Entry = s.EntryVersion
+		if s.EntryVersion != 0 && (l.MinEntry == 0 || s.EntryVersion < l.MinEntry) {
+			l.MinEntry = s.EntryVersion
 		}
 	}
-	places := map[string]int{}
-	place := func(name string) int {
-		at, known := places[name]
+	indexes := map[string]int{}
+	index := func(name string) int {
+		i, known := indexes[name]
 		if !known {
-			at = len(l.Names)
-			places[name] = at
+			i = len(l.Names)
+			indexes[name] = i
 			l.Names = append(l.Names, name)
 		}
-		return at
+		return i
 	}
 	for _, s := range servers {
 		w := listedServer{
 			ID:         s.ID,
 			Addr:       packAddr(s.Addr),
-			Service:    place(s.Service),
-			DataCentre: place(s.DataCentre),
+			Service:    index(s.Service),
+			DataCentre: index(s.DataCentre),
 			Slots:      s.Slots,
 			State:      s.State,
 			WarmupMs:   s.Warmup.Milliseconds(),
-			Version:    place(s.Version),
+			Version:    index(s.Version),
 		}
 		if s.Born != 0 {
-			w.Born = s.Born - l.Born + 1
+			w.BornOffset = s.Born - l.MinBorn + 1
 		}
 		if s.EntryVersion != 0 {
-			w.Entry = s.EntryVersion - l.Entry + 1
+			w.EntryOffset = s.EntryVersion - l.MinEntry + 1
 		}
 		l.Servers = append(l.Servers, w)
 	}
 	return l
 }
 
-// name returns the name at a place of the table; one that is not there is none.
-func (l serverList) name(at int) string {
-	if at < 0 || at >= len(l.Names) {
+// name returns the name at an index of the table, or "" if the index is out of range.
+func (l serverList) name(i int) string {
+	if i < 0 || i >= len(l.Names) {
 		return ""
 	}
-	return l.Names[at]
+	return l.Names[i]
 }
 
-// unpack returns the servers of the list.
+// unpack decodes the servers.
 func (l serverList) unpack() []routing.Server {
 	servers := make([]routing.Server, 0, len(l.Servers))
 	for _, w := range l.Servers {
@@ -99,19 +99,19 @@
 			Warmup:     time.Duration(w.WarmupMs) * time.Millisecond,
 			Version:    l.name(w.Version),
 		}
-		if w.Born != 0 {
-			s.Born = l.Born + w.Born - 1
+		if w.BornOffset != 0 {
+			s.Born = l.MinBorn + w.BornOffset - 1
 		}
-		if w.Entry != 0 {
-			s.EntryVersion = l.Entry + w.Entry - 1
+		if w.EntryOffset != 0 {
+			s.EntryVersion = l.MinEntry + w.EntryOffset - 1
 		}
 		servers = append(servers, s)
 	}
 	return servers
 }
 
-// packedAddr is the length of a packed IPv4 address with its port.
-const packedAddr = 6
+// packedAddrLen is the length of an encoded IPv4 address with its port.
+const packedAddrLen = 6
 
 func packAddr(addr string) []byte {
 	parsed, err := netip.ParseAddrPort(addr)
@@ -122,68 +122,68 @@
 	return append(ip[:], byte(parsed.Port()>>8), byte(parsed.Port()))
 }
 
-func unpackAddr(text []byte) string {
-	if len(text) != packedAddr {
-		return string(text)
+func unpackAddr(data []byte) string {
+	if len(data) != packedAddrLen {
+		return string(data)
 	}
-	ip := netip.AddrFrom4([4]byte(text[:4]))
-	return netip.AddrPortFrom(ip, uint16(text[4])<<8|uint16(text[5])).String()
+	ip := netip.AddrFrom4([4]byte(data[:4]))
+	return netip.AddrPortFrom(ip, uint16(data[4])<<8|uint16(data[5])).String()
 }
 
-// listChange is a list of servers on its way, or what has changed of it since From.
+// listChange is an encoded server list, or the changes of it since From.
 type listChange struct {
-	_        struct{} `cbor:",toarray"`
-	Whole    bool
-	From     roster.Stamp // of changes
-	As       roster.Stamp
-	Servers  serverList
-	Held     map[string]int64 // ms
-	Doubtful serverList
-	Left     []int64 // of those in doubt, ms
-	Gone     []string
-	Gaps     []roster.Gap
-}
-
-// packTold puts what a whole list or changes tell into what is sent.
-func (c *listChange) packTold(t roster.Snapshot) {
+	_              struct{} `cbor:",toarray"`
+	Full           bool
+	From           roster.Stamp // for changes only
+	To             roster.Stamp
+	Servers        serverList
+	HeldMs         map[string]int64
+	Doubtful       serverList
+	DoubtfulLeftMs []int64 // remaining times of the doubtful servers
+	Removed        []string
+	Gaps           []roster.Gap
+}
+
+// packSnapshot encodes what whole lists and changes have in common.
+func (c *listChange) packSnapshot(t roster.Snapshot) {
 	c.Servers = packServers(t.Servers)
-	c.Held = inMillis(t.Held)
+	c.HeldMs = toMillis(t.Held)
 	var doubtful []routing.Server
 	for _, d := range t.Doubtful {
 		doubtful = append(doubtful, d.Server)
-		c.Left = append(c.Left, d.Left.Milliseconds())
+		c.DoubtfulLeftMs = append(c.DoubtfulLeftMs, d.Left.Milliseconds())
 	}
 	c.Doubtful = packServers(doubtful)
 }
 
-// told is the other way.
-func (c *listChange) told() roster.Snapshot {
-	t := roster.Snapshot{Servers: c.Servers.unpack(), Held: ofMillis(c.Held, 0)}
+// snapshot is the inverse of packSnapshot.
+func (c *listChange) snapshot() roster.Snapshot {
+	t := roster.Snapshot{Servers: c.Servers.unpack(), Held: fromMillis(c.HeldMs, 0)}
 	for i, s := range c.Doubtful.unpack() {
-		if i < len(c.Left) {
-			t.Doubtful = append(t.Doubtful, roster.Doubtful{Server: s, Left: time.Duration(c.Left[i]) * time.Millisecond})
+		if i < len(c.DoubtfulLeftMs) {
+			t.Doubtful = append(t.Doubtful, roster.Doubtful{Server: s, Left: time.Duration(c.DoubtfulLeftMs[i]) * time.Millisecond})
 		}
 	}
 	return t
 }
 
-func packWhole(t roster.Snapshot, as roster.Stamp) listChange {
-	c := listChange{Whole: true, As: as}
-	c.packTold(t)
+func packFullList(t roster.Snapshot, stamp roster.Stamp) listChange {
+	c := listChange{Full: true, To: stamp}
+	c.packSnapshot(t)
 	return c
 }
 
 func packDelta(d roster.Delta) listChange {
-	c := listChange{From: d.From, As: d.To, Gone: d.Removed, Gaps: d.Gaps}
-	c.packTold(d.Snapshot)
+	c := listChange{From: d.From, To: d.To, Removed: d.Removed, Gaps: d.Gaps}
+	c.packSnapshot(d.Snapshot)
 	return c
 }
 
 func (c *listChange) delta() roster.Delta {
-	return roster.Delta{From: c.From, To: c.As, Snapshot: c.told(), Removed: c.Gone, Gaps: c.Gaps}
+	return roster.Delta{From: c.From, To: c.To, Snapshot: c.snapshot(), Removed: c.Removed, Gaps: c.Gaps}
 }
 
-// memberList is the routers of one data centre on their way, some 20 bytes for each.
+// memberList is the encoded list of the routers of a data centre, some 20 bytes each.
 type memberList struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre string
--- a/internal/edge/peers/network.go
+++ b/internal/edge/peers/network.go
@@ -11,29 +11,29 @@
 	"github.com/windscale/windscale/internal/dial"
 )
 
-// Network carries what routers tell each other.
+// Network carries messages between routers.
 type Network interface {
-	// Send sends a datagram to the router with the control address. It may be lost.
+	// Send sends a datagram to the router with the control address. The datagram may be lost.
 	Send(to string, text []byte) error
-	// Fetch gets a path of another router, and calls done once with what that answered.
+	// Fetch gets a path of another router and calls done once with the response.
 	Fetch(from, path string, done func([]byte, error))
 }
 
 const (
-	// dialTimeout bounds the opening of a connection to another router: one in another data centre
-	// takes some milliseconds, one that has no power never answers.
+	// dialTimeout bounds the time to open a connection to another router. A router in another data
+	// centre takes some milliseconds; one without power never answers.
 	dialTimeout = 350 * time.Millisecond
-	// fetchTimeout bounds a fetch: a list of 10,000 servers is some 350 KB, which a host of a fifth
-	// of a core gives to several others at a time.
-	fetchTimeout = 2500 * time.Millisecond
-	maxDatagram  = 60 << 10
-	maxView      = 8 << 20
+	// fetchTimeout bounds a fetch. A list of 10,000 servers is some 350 KB, which a host with a
+	// fifth of a core sends to several routers at a time.
+	fetchTimeout    = 2500 * time.Millisecond
+	maxDatagram     = 60 << 10
+	maxResponseSize = 8 << 20
 )
 
-// network is that of real routers: datagrams, and HTTP at their control addresses.
+// network sends datagrams over UDP and fetches over HTTP from the routers' control addresses.
 type network struct {
-	ctx  context.Context // ends fetches
-	port uint16          // of datagrams, the same at all routers
+	ctx  context.Context // cancels fetches
+	port uint16          // UDP port, the same on all routers
 	conn *net.UDPConn
 	http *http.Client
 }
@@ -51,13 +51,13 @@
 }
 
 // Send implements Network.
-func (n *network) Send(to string, text []byte) error {
+func (n *network) Send(to string, data []byte) error {
 	addr, err := netip.ParseAddrPort(to)
 	if err != nil {
 		return err
 	}
-	// A datagram that can't be sent is one that is lost: the next one tells.
-	_, _ = n.conn.WriteToUDPAddrPort(text, netip.AddrPortFrom(addr.Addr(), n.port))
+	// A datagram that cannot be sent counts as lost; the next one carries the state.
+	_, _ = n.conn.WriteToUDPAddrPort(data, netip.AddrPortFrom(addr.Addr(), n.port))
 	return nil
 }
 
@@ -66,7 +66,7 @@
 	go func() { done(n.get(from, path)) }()
 }
 
-// StatusError is a peer's refusal.
+// StatusError is a response of a peer with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   []byte
@@ -75,7 +75,7 @@
 // Error implements error.
 func (e *StatusError) Error() string { return "peer answered " + http.StatusText(e.Status) }
 
-// get fetches one thing from a peer.
+// get fetches a path from a peer.
 func (n *network) get(from, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(n.ctx, http.MethodGet, "http://"+from+path, nil)
 	if err != nil {
@@ -86,22 +86,22 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, err := readAll(resp)
+	body, err := readBody(resp)
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, &StatusError{Status: resp.StatusCode, Body: text}
+		return nil, &StatusError{Status: resp.StatusCode, Body: body}
 	}
-	return text, nil
+	return body, nil
 }
 
-// readAll reads an answer into a buffer of its length, if that is told.
-func readAll(resp *http.Response) ([]byte, error) {
-	if resp.ContentLength < 0 || resp.ContentLength > maxView {
-		return io.ReadAll(io.LimitReader(resp.Body, maxView))
+// readBody reads a response body, into a buffer of the exact length if that is known.
+func readBody(resp *http.Response) ([]byte, error) {
+	if resp.ContentLength < 0 || resp.ContentLength > maxResponseSize {
+		return io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	}
-	text := make([]byte, resp.ContentLength)
-	_, err := io.ReadFull(resp.Body, text)
-	return text, err
+	body := make([]byte, resp.ContentLength)
+	_, err := io.ReadFull(resp.Body, body)
+	return body, err
 }
--- a/internal/edge/peers/older.go
+++ b/internal/edge/peers/older.go
@@ -15,14 +15,14 @@
 	"github.com/windscale/windscale/internal/events"
 )
 
-// The forms of the release before, for the time of an update in which routers of both run. They go
-// with the next release.
+// Paths of the previous release, which are needed during an update while routers of both releases
+// run. The next release removes them.
 const (
-	pathServers = "/fleet/servers" // the whole list of servers
+	pathServers = "/fleet/servers" // the whole server list
 	pathView    = "/fleet/view"
 )
 
-// olderView is what a router of that release gives one that starts.
+// olderView is the view that a router of the previous release serves to a joining one.
 type olderView struct {
 	Raw   []byte
 	Stamp roster.Stamp
@@ -35,32 +35,32 @@
 	AllEnds       bool
 }
 
-// olderList is its list of servers.
+// olderList is the server list of the previous release.
 type olderList struct {
 	Stamp roster.Stamp
 	roster.Snapshot
 }
 
-// giveOlderView gives this router's view.
-func (p *Peers) giveOlderView() given {
-	if err := p.hasView(); err != nil {
-		return given{status: http.StatusServiceUnavailable, text: []byte(err.Error())}
+// serveOlderView returns this router's view in the older encoding.
+func (p *Peers) serveOlderView() fetchResponse {
+	if err := p.checkView(); err != nil {
+		return fetchResponse{status: http.StatusServiceUnavailable, body: []byte(err.Error())}
 	}
 	now := p.Now()
 	_, age := p.State.Table()
-	v := olderView{Raw: p.State.Raw(), AgeMs: age.Milliseconds(), Ends: wireCrashes(p.State.RepeatCrashes()), AllEnds: p.State.KnowsCrashes()}
+	v := olderView{Raw: p.State.Raw(), AgeMs: age.Milliseconds(), Ends: crashesToWire(p.State.RepeatCrashes()), AllEnds: p.State.KnowsCrashes()}
 	v.Snapshot, v.Stamp = p.State.ServersTold()
 	v.Evacuations, v.EvacuationsAs = p.State.EvacuationsTold()
 	p.mu.Lock()
-	v.Routers = append(p.known(now).all, knownRouter{Addr: p.Self.Addr, DataCentre: p.Self.DataCentre, Cores: p.Self.Cores})
+	v.Routers = append(p.liveRouters(now).all, knownRouter{Addr: p.Self.Addr, DataCentre: p.Self.DataCentre, Cores: p.Self.Cores})
 	p.mu.Unlock()
-	return p.giveText(cbor.Marshal(v))
+	return p.bodyResponse(cbor.Marshal(v))
 }
 
-// takeOlderView takes such a view, which took so long to come.
-func (p *Peers) takeOlderView(text []byte, took time.Duration) error {
+// applyOlderView applies an older view, which took the elapsed time to arrive.
+func (p *Peers) applyOlderView(data []byte, elapsed time.Duration) error {
 	var v olderView
-	if err := cbor.Unmarshal(text, &v); err != nil {
+	if err := cbor.Unmarshal(data, &v); err != nil {
 		return err
 	}
 	c, err := p.Decode(v.Raw)
@@ -70,34 +70,34 @@
 	now := p.Now()
 	p.mu.Lock()
 	for _, k := range v.Routers {
-		p.spread.Observe(spread.Member{Addr: k.Addr, DataCentre: k.DataCentre, Cores: k.Cores}, k.age()+took, now)
+		p.spread.Observe(spread.Member{Addr: k.Addr, DataCentre: k.DataCentre, Cores: k.Cores}, k.age()+elapsed, now)
 	}
 	p.mu.Unlock()
-	p.putInForce(view{
-		config: c, raw: v.Raw, servers: v.Snapshot, as: v.Stamp, age: time.Duration(v.AgeMs)*time.Millisecond + took,
-		evacuated: v.Evacuations, evacuatedAs: v.EvacuationsAs, crashes: readCrashes(v.Ends, took), allEnds: v.AllEnds,
+	p.applyFirstView(decodedView{
+		config: c, raw: v.Raw, servers: v.Snapshot, stamp: v.Stamp, age: time.Duration(v.AgeMs)*time.Millisecond + elapsed,
+		evacuated: v.Evacuations, evacuatedStamp: v.EvacuationsAs, crashes: crashesFromWire(v.Ends, elapsed), allCrashes: v.AllEnds,
 	})
 	return nil
 }
 
-// giveOlderList gives the whole list of servers.
-func (p *Peers) giveOlderList() given {
+// serveOlderList returns the whole server list in the older encoding.
+func (p *Peers) serveOlderList() fetchResponse {
 	list, stamp := p.State.ServersTold()
-	return p.giveText(json.Marshal(olderList{Stamp: stamp, Snapshot: list}))
+	return p.bodyResponse(json.Marshal(olderList{Stamp: stamp, Snapshot: list}))
 }
 
-// fetchOlderList fetches such a list.
+// fetchOlderList fetches the server list in the older encoding.
 func (p *Peers) fetchOlderList(from string) {
-	p.Net.Fetch(from, pathServers, func(text []byte, err error) {
+	p.Net.Fetch(from, pathServers, func(data []byte, err error) {
 		if err != nil {
-			p.pullFailed(from, "servers", err)
+			p.logPullFailed(from, "servers", err)
 			return
 		}
 		var v olderList
-		if err := json.Unmarshal(text, &v); err != nil {
+		if err := json.Unmarshal(data, &v); err != nil {
 			events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelWarn, "peer", from, "err", err)
 			return
 		}
-		p.takeListChange(from, packWhole(v.Snapshot, v.Stamp))
+		p.applyListChange(from, packFullList(v.Snapshot, v.Stamp))
 	})
 }
--- a/internal/edge/peers/peers.go
+++ b/internal/edge/peers/peers.go
@@ -1,11 +1,11 @@
-// Package peers is how routers know each other: small datagrams with each router's load, its
-// customers' rates, the version of its view and what has changed of it, and calls by which a
-// router that is behind fetches what it lacks. Nothing of it is needed to serve: a router that
-// hears no other decides by its own counts.
+// Package peers implements the communication between routers. Each router sends small datagrams,
+// heartbeats, with its load, its customers' rates, the version of its view and recent changes of
+// that view. A router that is behind fetches what it lacks over HTTP. Serving requests does not
+// depend on this: a router that hears no other one decides by its own counts.
 //
-// In a large fleet no message grows with the fleet but for the reports that a reporter takes in:
-// a change of the list of servers or of the routers is told alone, a difference shows by a stamp
-// or a digest, and what is missing is fetched within the data centre.
+// In a large fleet message sizes do not grow with the fleet, except for the reports that a reporter
+// receives. A change of the server list or of the routers is sent as a delta, a difference is
+// detected by a stamp or a digest, and missing data is fetched within the data centre.
 package peers
 
 import (
@@ -25,57 +25,60 @@
 )
 
 const (
-	// reportEvery is one tick, in which a router of a small fleet tells its peers its load: the
-	// older it is, the more pile up at one server (docs/MEASUREMENTS.md).
-	reportEvery = 20 * time.Millisecond
-	// ratesEvery is in how many ticks at least a router tells the customers' rates, which
-	// change more slowly than loads and are most of a report.
-	ratesEvery = 4
-	// sumEvery is in how many ticks at least a reporter tells other data centres, bytes to which
-	// are dear. It is a multiple of ratesEvery, so that they hear those too.
-	sumEvery = 4
-	// totalEvery is in how many ticks at least a reporter tells the routers of its data
-	// centre: there are two of them, so that a router hears one every 20 ms.
-	totalEvery = 2
-	// headsEvery is in how many ticks at least a router tells which ones it takes for the first in
-	// the ranking.
-	headsEvery = 20
-	// reportOld is the age of the last answer of the store at which a router that is told by
-	// others follows the store itself, in a fleet that tells at each tick: a reader's report is at
-	// most follow's wait and two ticks old. hops is on how many ticks more it depends otherwise.
-	reportOld = 2200 * time.Millisecond
-	hops      = 3
-	// pullAfter is how long a newer configuration may be on its way from the
-	// store before it is fetched from the peer that has it, and a newer list on its way within a
-	// data centre before it is fetched from another one.
-	pullAfter = 250 * time.Millisecond
-	// serversEvery is how often the servers are fetched from a peer while the
-	// store can't be reached.
-	serversEvery = time.Second
-	// viewOld is the age of the last answer of the store above which a peer's
-	// view is asked for.
-	viewOld = 3 * time.Second
-	// sameReport is how much younger an age has to be than the one known to be that
-	// of a newer answer of the store: more than a datagram's delay and the
-	// millisecond that ages are rounded to, less than the pause between two reports.
-	sameReport = 50 * time.Millisecond
-	// joinFor is how long after its start a router has heard of all others.
-	joinFor = 2 * time.Second
+	// tickInterval is the length of a tick. A router of a small fleet reports its load to its peers
+	// once per tick: the older a reported load is, the more requests pile up at one server
+	// (docs/MEASUREMENTS.md).
+	tickInterval = 20 * time.Millisecond
+	// ratesTicks is the minimum number of ticks between two reports of the customers' rates, which
+	// change more slowly than loads and make up most of a report.
+	ratesTicks = 4
+	// sumTicks is the minimum number of ticks between two reports of a reporter to other data
+	// centres, since traffic between data centres is expensive. It is a multiple of ratesTicks, so
+	// that these reports include the rates.
+	sumTicks = 4
+	// totalTicks is the minimum number of ticks between two reports of a reporter to the routers of
+	// its data centre. There are two reporters, so a router receives a report every 20 ms.
+	totalTicks = 2
+	// repeatTicks is the minimum number of ticks between two reports of state that is sent
+	// repeatedly, such as the top-ranked routers.
+	repeatTicks = 20
+	// baseFallbackAge is the age of the last store answer at which a router that relies on the
+	// readers follows the store itself, in a fleet that reports at each tick: a reader's report is
+	// at most follow's wait plus two ticks old. With a longer report period the age grows by
+	// reportHops times the additional ticks.
+	baseFallbackAge = 2200 * time.Millisecond
+	reportHops      = 3
+	// pullDelay is how long a newer configuration may take to arrive from the store before it is
+	// fetched from the peer that has it, and how long a newer server list may take to arrive within
+	// the data centre before it is fetched from another one.
+	pullDelay = 250 * time.Millisecond
+	// serversPullInterval is the minimum time between two fetches of the server list by a router
+	// that follows the store, while the store is unreachable.
+	serversPullInterval = time.Second
+	// maxViewAge is the age of the last store answer above which a router asks for a peer's view
+	// and no longer serves its own.
+	maxViewAge = 3 * time.Second
+	// sameAnswerTolerance is how much younger than the known age a reported age must be to count as
+	// that of a newer store answer. It exceeds the delay of a datagram plus the millisecond that
+	// ages are rounded to, and is less than the pause between two reports.
+	sameAnswerTolerance = 50 * time.Millisecond
+	// discoveryTime is the time after its start within which a router has heard of all others.
+	discoveryTime = 2 * time.Second
 )
 
-// peer is what another router said of its view.
-type peer struct {
-	dataCentre string
-	version    int64        // of its configuration
-	stamp      roster.Stamp // of its list of servers
-	heard      time.Time    // when it said so
-	asOf       time.Time    // when the store's answer was, on which its view rests
-	newer      time.Time    // since when its configuration is newer; zero: it is not
-	ahead      time.Time    // since when its list is newer; zero: it is not
-	answered   time.Time    // when it was answered last
+// peerView is the last reported view of a peer.
+type peerView struct {
+	dataCentre       string
+	configVersion    int64
+	listStamp        roster.Stamp // of its server list
+	lastHeard        time.Time
+	storeReadAt      time.Time // time of the store answer that its view is based on
+	configNewerSince time.Time // since when its configuration has been newer than this router's; zero if it is not
+	listNewerSince   time.Time // the same for its server list
+	lastAnswered     time.Time // when this router last answered it
 }
 
-// Peers is a router's knowledge of the others.
+// Peers tracks the other routers of the fleet and exchanges state with them.
 type Peers struct {
 	State *state.State
 	Log   *slog.Logger
@@ -84,86 +87,87 @@
 	Stats Stats
 
 	Decode func([]byte) (*routing.Config, error) // a configuration as the operator wrote it
-	// Wait is for how long what could run on this host waits for its processor.
-	Wait func() time.Duration
-	// Now is the time by which the ages of reports are judged.
+	// ProcessorWait returns how long runnable work on this host currently waits for a processor.
+	ProcessorWait func() time.Duration
+	// Now returns the time by which the ages of reports are computed.
 	Now func() time.Time
 
-	conn *net.UDPConn // nil: datagrams come by Take
+	conn *net.UDPConn // nil if datagrams arrive through HandleDatagram
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	spread  *spread.View
-	views   map[string]*peer
-	reports map[string]heardReport // by sender: loads of this data centre's routers, sums of others
-	ticks   int
-	step    int       // ticks between the last step and this one
-	began   time.Time // when this router told of itself first
-	sums    int       // sums of this data centre that were told
-	pending pending   // what a reporter has yet to tell on
-	members memberSync
-	pushed  pushed
-	give    giving
-	older   time.Time // when a router of an earlier release was heard last
-	cut     cutLog    // of Step alone
+	mu                sync.Mutex
+	rng               *rand.Rand
+	spread            *spread.View
+	views             map[string]*peerView
+	reports           map[string]receivedReport // by reportKey: loads of the routers of this data centre, sums of the others
+	ticks             int
+	stepTicks         int       // ticks between the previous step and this one
+	firstReportAt     time.Time // when this router first reported
+	sumRounds         int       // number of sums of this data centre that were sent
+	pending           pending   // what a reporter has yet to relay
+	members           memberSync
+	pushed            pushState
+	serving           viewServing
+	olderReleaseHeard time.Time     // when a router of an earlier release was last heard
+	truncations       truncationLog // used by Step only
 
-	join   *join.Join    // nil: it has not begun, or is over
-	joined chan struct{} // closed when the first view has been sought
+	join   *join.Join    // nil before the join starts and after it ends
+	joined chan struct{} // closed when the search for a first view ends
 
-	// What is being fetched. The servers are fetched apart from the configuration:
-	// a peer that does not answer must not hold up both.
-	configs, servers, routers fetch
+	// Fetches in progress. The server list is fetched independently of the configuration, so that a
+	// peer that does not answer cannot block both.
+	configFetch, serversFetch, routersFetch fetch
 }
 
-// New returns the peers of a router. conn is its datagram socket.
-func New(s *state.State, log *slog.Logger, self spread.Member, conn *net.UDPConn, decode func([]byte) (*routing.Config, error), wait func() time.Duration, now func() time.Time) *Peers {
-	p := NewOn(newNetwork(conn), s, log, self, decode, rand.Uint64(), now)
-	p.Wait = wait
+// New returns the peers of a router. It sends and receives datagrams on conn.
+func New(st *state.State, log *slog.Logger, self spread.Member, conn *net.UDPConn, decode func([]byte) (*routing.Config, error), wait func() time.Duration, now func() time.Time) *Peers {
+	p := NewOnNetwork(newNetwork(conn), st, log, self, decode, rand.Uint64(), now)
+	p.ProcessorWait = wait
 	p.conn = conn
 	return p
 }
 
-// NewOn returns the peers of a router on any network. Its random choices follow from the seed.
-func NewOn(on Network, s *state.State, log *slog.Logger, self spread.Member, decode func([]byte) (*routing.Config, error), seed uint64, now func() time.Time) *Peers {
+// NewOnNetwork returns the peers of a router on the given network. Its random choices follow from
+// the seed.
+func NewOnNetwork(transport Network, st *state.State, log *slog.Logger, self spread.Member, decode func([]byte) (*routing.Config, error), seed uint64, now func() time.Time) *Peers {
 	return &Peers{
-		State:   s,
-		Log:     log,
-		Self:    self,
-		Net:     on,
-		Decode:  decode,
-		Wait:    func() time.Duration { return 0 },
-		Now:     now,
-		rng:     rand.New(rand.NewPCG(seed, seed)),
-		spread:  spread.New(self),
-		step:    1,
-		views:   map[string]*peer{},
-		reports: map[string]heardReport{},
-		pending: newPending(),
-		members: newMemberSync(),
-		give:    newGiving(),
-		joined:  make(chan struct{}),
+		State:         st,
+		Log:           log,
+		Self:          self,
+		Net:           transport,
+		Decode:        decode,
+		ProcessorWait: func() time.Duration { return 0 },
+		Now:           now,
+		rng:           rand.New(rand.NewPCG(seed, seed)),
+		spread:        spread.New(self),
+		stepTicks:     1,
+		views:         map[string]*peerView{},
+		reports:       map[string]receivedReport{},
+		pending:       newPending(),
+		members:       newMemberSync(),
+		serving:       newViewServing(),
+		joined:        make(chan struct{}),
 	}
 }
 
 // Add makes routers known by their control addresses.
-func (p *Peers) Add(seed bool, controls ...string) {
+func (p *Peers) Add(seed bool, controlAddrs ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range controls {
-		p.spread.Add(spread.Member{Addr: c}, seed, p.Now())
+	for _, addr := range controlAddrs {
+		p.spread.Add(spread.Member{Addr: addr}, seed, p.Now())
 	}
 }
 
-// Registers reports whether this router's address belongs into the store, by which
-// routers find each other whose seeds are gone: that of each of a small fleet, the
-// reporters' of a large one, which all others are told of by them.
-func (p *Peers) Registers() bool {
+// ShouldRegister reports whether this router's address belongs in the store, where routers find
+// each other if their seeds are gone. In a small fleet every router registers; in a large one only
+// the reporters do, which tell the others of all routers.
+func (p *Peers) ShouldRegister() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.spread.IsMesh() || p.spread.IsReporter()
 }
 
-// Live returns how many other routers were heard of lately.
+// Live returns the number of other routers that were heard recently.
 func (p *Peers) Live() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,8 +181,8 @@
 	return !p.spread.IsMesh() && p.spread.IsReader()
 }
 
-// Role says how this router follows the store. One that is told by others does
-// so itself when their report is old, or none comes.
+// Role returns how this router follows the store. A router that relies on the readers follows the
+// store itself when their report is old or missing.
 func (p *Peers) Role() follow.Role {
 	_, age := p.State.Table()
 	p.mu.Lock()
@@ -188,69 +192,69 @@
 		return follow.Informed
 	case p.spread.IsMesh() || p.spread.Isolated(p.Now()):
 		return follow.Everyone
-	case p.spread.IsReader() || p.spread.IsFallbackReader(age-p.reportOld()):
+	case p.spread.IsReader() || p.spread.IsFallbackReader(age-p.fallbackAge()):
 		return follow.Reader
 	}
 	return follow.Informed
 }
 
-// reportOld is the age of the last answer of the store above which a router does not rely on
-// the readers; the lock is held.
-func (p *Peers) reportOld() time.Duration {
-	return reportOld + time.Duration(hops*(p.spread.ReportPeriod()-1))*reportEvery
+// fallbackAge returns the age of the last store answer above which a router no longer relies on the
+// readers. The caller must hold p.mu.
+func (p *Peers) fallbackAge() time.Duration {
+	return baseFallbackAge + time.Duration(reportHops*(p.spread.ReportPeriod()-1))*tickInterval
 }
 
-// Run tells the peers of this router and fetches what they have newer, until ctx
-// ends. One timer does for both: a small host pays for each time it wakes.
+// Run reports to the peers and fetches newer state from them until ctx ends. A single timer drives
+// both, since each wake-up costs processor time on a small host.
 func (p *Peers) Run(ctx context.Context) error {
-	t := time.NewTimer(rand.N(reportEvery))
-	defer t.Stop()
+	timer := time.NewTimer(rand.N(tickInterval))
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.C:
-			begin := p.Now()
-			pause := p.Step(begin)
-			t.Reset(max(pause-p.Now().Sub(begin), reportEvery/4))
+		case <-timer.C:
+			began := p.Now()
+			pause := p.Step(began)
+			timer.Reset(max(pause-p.Now().Sub(began), tickInterval/4))
 		}
 	}
 }
 
-// Step does what is due now, and returns after what time the next step is.
+// Step does the work that is due and returns the time until the next step.
 func (p *Peers) Step(now time.Time) time.Duration {
 	if p.stepJoin(now) {
-		return joinEvery
+		return joinInterval
 	}
-	p.giveOffers(now)
+	p.sendOffers(now)
 	p.beginStep()
 	p.publish(now)
 	p.push(now)
-	p.pullNewer(now)
-	p.pullList(now)
+	p.pullConfig(now)
+	p.pullServers(now)
 	p.pullMembers(now)
-	p.logCut(now)
+	p.logTruncations(now)
 	return p.endStep()
 }
 
-// beginStep counts the ticks that have passed since the last step.
+// beginStep counts the ticks since the previous step.
 func (p *Peers) beginStep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ticks += p.step
+	p.ticks += p.stepTicks
 }
 
-// endStep returns after what time the next step is: a router that has nothing to tell on wakes
-// once for each of its reports.
+// endStep returns the time until the next step. A router that relays nothing wakes up only once for
+// each of its reports.
 func (p *Peers) endStep() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.step = p.spread.ReportPeriod()
+	p.stepTicks = p.spread.ReportPeriod()
 	if p.spread.IsMesh() || p.spread.IsReporter() {
-		p.step = 1
+		p.stepTicks = 1
 	}
-	return time.Duration(p.step) * reportEvery
+	return time.Duration(p.stepTicks) * tickInterval
 }
 
-// every reports whether a multiple of n ticks has passed in this step; the lock is held.
-func (p *Peers) every(n int) bool { return p.ticks/n != (p.ticks-p.step)/n }
+// isDue reports whether a multiple of n ticks has passed in this step. The caller must hold p.mu.
+func (p *Peers) isDue(n int) bool { return p.ticks/n != (p.ticks-p.stepTicks)/n }
--- a/internal/edge/peers/peers_test.go
+++ b/internal/edge/peers/peers_test.go
@@ -23,26 +23,26 @@
 	"github.com/windscale/windscale/test/loopback"
 )
 
-// router is the part of a router that talks to others.
-type router struct {
+// testRouter is the part of a router that communicates with others.
+type testRouter struct {
 	state *state.State
 	peers *Peers
 }
 
-// start starts a router on a loopback address of its own, with the given ports.
-func start(t *testing.T, ip string, control, udp int, seeds ...string) *router {
+// startRouter starts a router on its own loopback address with the given ports.
+func startRouter(t *testing.T, ip string, control, udp int, seeds ...string) *testRouter {
 	t.Helper()
-	return run(t, ip, control, udp, func(p *Peers) { p.Add(true, seeds...) })
+	return runRouter(t, ip, control, udp, func(p *Peers) { p.Add(true, seeds...) })
 }
 
-// starting starts one that seeks its first view.
-func starting(t *testing.T, ip string, control, udp int, firstStart bool, seeds ...string) *router {
+// startJoiningRouter starts a router that looks for its first view.
+func startJoiningRouter(t *testing.T, ip string, control, udp int, firstStart bool, seeds ...string) *testRouter {
 	t.Helper()
-	return run(t, ip, control, udp, func(p *Peers) { p.Join(seeds, firstStart) })
+	return runRouter(t, ip, control, udp, func(p *Peers) { p.Join(seeds, firstStart) })
 }
 
-// run runs a router that begins so.
-func run(t *testing.T, ip string, control, udp int, begin func(*Peers)) *router {
+// runRouter runs a router after calling begin.
+func runRouter(t *testing.T, ip string, control, udp int, begin func(*Peers)) *testRouter {
 	t.Helper()
 	addr := net.TCPAddr{IP: net.ParseIP(ip), Port: control}
 	ln, err := net.ListenTCP("tcp4", &addr)
@@ -62,14 +62,14 @@
 		_ = conn.Close()
 		_ = server.Close()
 	})
-	return &router{state: s, peers: p}
+	return &testRouter{state: s, peers: p}
 }
 
-// noWait is the wait for the processor of a host that has time.
+// noWait is the processor wait of an idle host.
 func noWait() time.Duration { return 0 }
 
-// ports reserves a control port and a UDP port on 127.0.0.31.
-func ports(t *testing.T) (control, udp int) {
+// reservePorts reserves a control port and a UDP port on 127.0.0.31.
+func reservePorts(t *testing.T) (control, udp int) {
 	t.Helper()
 	control, err := loopback.ReservePort("127.0.0.31")
 	assert.NilError(t, err)
@@ -78,16 +78,16 @@
 	return control, udp
 }
 
-// A router that the store turns away takes the view of one that it serves, and
-// knows what the other sends.
-func TestViewAndLoadReachARouterWithoutTheStore(t *testing.T) {
-	control, udp := ports(t)
-	a := start(t, "127.0.0.31", control, udp)
-	b := start(t, "127.0.0.32", control, udp, a.peers.Self.Addr)
-	text := platformtest.Config(5, nil, nil, []string{"app"}, nil)
-	c, err := platform.DecodeConfig(text)
+// A router whose calls the store refuses gets the view from a router that the store serves, and
+// both hear each other.
+func TestViewReachesRouterWithoutStore(t *testing.T) {
+	control, udp := reservePorts(t)
+	a := startRouter(t, "127.0.0.31", control, udp)
+	b := startRouter(t, "127.0.0.32", control, udp, a.peers.Self.Addr)
+	data := platformtest.Config(5, nil, nil, []string{"app"}, nil)
+	c, err := platform.DecodeConfig(data)
 	assert.NilError(t, err)
-	a.state.TakeConfig(c, text)
+	a.state.TakeConfig(c, data)
 	list := []routing.Server{{ID: "x", Service: "app", Slots: 2, State: routing.ServerReady}}
 	a.state.ServersReplaced(list, roster.Stamp{Version: 9}, false)
 	a.state.Confirm(0)
@@ -97,54 +97,54 @@
 	assert.Equal(t, a.peers.Role(), follow.Everyone)
 }
 
-// A datagram that is no report changes nothing.
-func TestMalformedHeartbeatIsLeftOut(t *testing.T) {
-	control, udp := ports(t)
-	a := start(t, "127.0.0.33", control, udp)
+// A malformed datagram changes nothing.
+func TestMalformedHeartbeatIsIgnored(t *testing.T) {
+	control, udp := reservePorts(t)
+	a := startRouter(t, "127.0.0.33", control, udp)
 	c, err := net.Dial("udp4", (&net.UDPAddr{IP: net.ParseIP("127.0.0.33"), Port: udp}).String())
 	assert.NilError(t, err)
-	for _, text := range []string{"", "\x00", "not cbor", "\xa1\x01\x60"} {
-		_, err = c.Write([]byte(text))
+	for _, data := range []string{"", "\x00", "not cbor", "\xa1\x01\x60"} {
+		_, err = c.Write([]byte(data))
 		assert.NilError(t, err)
 	}
-	a.peers.take(heartbeat{}, time.Now())
+	a.peers.handleHeartbeat(heartbeat{}, time.Now())
 	assert.Equal(t, a.peers.Live(), 0)
 }
 
-// Loads are counted once, whatever kind of report tells them.
-func TestNoLoadCountsTwice(t *testing.T) {
-	control, udp := ports(t)
-	a := start(t, "127.0.0.34", control, udp)
+// A load counts once, whatever kind of report contains it.
+func TestLoadIsCountedOnce(t *testing.T) {
+	control, udp := reservePorts(t)
+	a := startRouter(t, "127.0.0.34", control, udp)
 	for _, k := range []kind{kindSum, kindTotal} {
-		assert.Equal(t, a.peers.use(heartbeat{Kind: k, DataCentre: "other"}), useNone, "a mesh goes by each router's own heartbeat")
+		assert.Equal(t, a.peers.usageOf(heartbeat{Kind: k, DataCentre: "other"}), useNone, "a mesh uses only the routers' own heartbeats")
 	}
-	assert.Equal(t, a.peers.use(heartbeat{Kind: kindOwn, DataCentre: "other"}), useOther)
+	assert.Equal(t, a.peers.usageOf(heartbeat{Kind: kindOwn, DataCentre: "other"}), useOther)
 }
 
-// A peer that told once of a newer configuration and tells no more is not asked
-// for it again and again once it has come from elsewhere (one configuration a
-// host each 20 ms, 0.6 GB between data centres).
-func TestConfigurationThatHasComeIsNotFetchedAgain(t *testing.T) {
-	control, udp := ports(t)
-	a := start(t, "127.0.0.35", control, udp)
+// A peer that reported a newer configuration once and then fell silent must not be asked for it
+// again after it arrived from elsewhere. This used to cause one fetch per host every 20 ms, 0.6 GB
+// between data centres.
+func TestReceivedConfigurationIsNotFetchedAgain(t *testing.T) {
+	control, udp := reservePorts(t)
+	a := startRouter(t, "127.0.0.35", control, udp)
 	now := time.Now()
 	a.peers.mu.Lock()
-	a.peers.view(heartbeat{Control: "127.0.0.36:1", Version: 5}, 4, true, now)
+	a.peers.recordView(heartbeat{ControlAddr: "127.0.0.36:1", ConfigVersion: 5}, 4, true, now)
 	a.peers.mu.Unlock()
-	later := now.Add(2 * pullAfter)
+	later := now.Add(2 * pullDelay)
 	assert.Assert(t, a.state.TakeConfig(&routing.Config{Version: 5}, nil))
-	assert.Equal(t, a.peers.ahead(later), "")
+	assert.Equal(t, a.peers.newerConfigPeer(later), "")
 	a.peers.mu.Lock()
 	defer a.peers.mu.Unlock()
-	assert.Assert(t, a.peers.views["127.0.0.36:1"].newer.IsZero())
+	assert.Assert(t, a.peers.views["127.0.0.36:1"].configNewerSince.IsZero())
 }
 
-// Ages of the store's last answer don't grow younger by going round
-// (all readers were turned away, and the fleet took 4.2 s for an age of 2.2 s), and only those are taken over that a
-// follower or one's own reporter tells.
-func TestAgesDoNotGoRound(t *testing.T) {
+// The age of a store answer must not become younger by being relayed in a circle: when the store
+// refused all readers, the fleet believed after 4.2 s that the last answer was 2.2 s old. Only ages
+// from a router that follows the store, or from the router's own reporter, are applied.
+func TestRelayedViewAgesDoNotShrink(t *testing.T) {
 	clock := time.Unix(1000, 0)
-	p := lone(t, func() time.Time { return clock }, noWait)
+	p := isolatedPeers(t, func() time.Time { return clock }, noWait)
 	s := p.State
 	assert.Assert(t, s.TakeConfig(&routing.Config{Version: 5}, nil))
 	s.Confirm(0)
@@ -152,24 +152,24 @@
 		_, age := s.Table()
 		return age
 	}
-	told := heartbeat{Control: "127.0.0.38:1", DataCentre: "dc", Version: 5, FollowedMs: 9000}
+	hb := heartbeat{ControlAddr: "127.0.0.38:1", DataCentre: "dc", ConfigVersion: 5, FollowedMs: 9000}
 	for range 100 {
 		clock = clock.Add(20 * time.Millisecond)
-		told.AgeMs = age().Milliseconds() - 2
-		p.take(told, clock)
+		hb.ViewAgeMs = age().Milliseconds() - 2
+		p.handleHeartbeat(hb, clock)
 	}
 	assert.Equal(t, age(), 2*time.Second)
-	told.AgeMs = 100
-	told.FollowedMs = 0
-	p.take(told, clock)
+	hb.ViewAgeMs = 100
+	hb.FollowedMs = 0
+	p.handleHeartbeat(hb, clock)
 	assert.Equal(t, age(), 2*time.Second, "it does not follow the store")
-	told.FollowedMs = 9000
-	p.take(told, clock)
+	hb.FollowedMs = 9000
+	p.handleHeartbeat(hb, clock)
 	assert.Equal(t, age(), 100*time.Millisecond)
 }
 
-// lone returns the peers of a router that talks to nobody, by the given clock.
-func lone(t testing.TB, now func() time.Time, wait func() time.Duration) *Peers {
+// isolatedPeers returns the peers of a router without contact to others, with the given clock.
+func isolatedPeers(t testing.TB, now func() time.Time, wait func() time.Duration) *Peers {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP("127.0.0.39")})
 	assert.NilError(t, err)
@@ -178,74 +178,74 @@
 	return New(s, slog.New(slog.NewTextHandler(io.Discard, nil)), spread.Member{Addr: "127.0.0.39:1", DataCentre: "dc"}, conn, platform.DecodeConfig, wait, now)
 }
 
-// A view is fetched from a peer that is there, not from one that fell silent
-// with the youngest report of the store.
-func TestSilentPeerIsNotAskedFirst(t *testing.T) {
+// A view is fetched from a live peer, not from a silent one that last reported the most recent
+// store answer.
+func TestFetchPrefersLivePeer(t *testing.T) {
 	clock := time.Unix(1000, 0)
-	p := lone(t, func() time.Time { return clock }, noWait)
-	gone := heartbeat{Control: "127.0.0.40:1", DataCentre: "dc", Version: 5, List: 9, AgeMs: 1}
-	there := heartbeat{Control: "127.0.0.41:1", DataCentre: "dc", Version: 5, List: 9, AgeMs: 200}
-	p.take(gone, clock)
-	p.take(there, clock)
-	assert.Equal(t, p.newerServers(clock), gone.Control)
+	p := isolatedPeers(t, func() time.Time { return clock }, noWait)
+	silent := heartbeat{ControlAddr: "127.0.0.40:1", DataCentre: "dc", ConfigVersion: 5, ListVersion: 9, ViewAgeMs: 1}
+	live := heartbeat{ControlAddr: "127.0.0.41:1", DataCentre: "dc", ConfigVersion: 5, ListVersion: 9, ViewAgeMs: 200}
+	p.handleHeartbeat(silent, clock)
+	p.handleHeartbeat(live, clock)
+	assert.Equal(t, p.newerServersPeer(clock), silent.ControlAddr)
 	clock = clock.Add(time.Second)
-	p.take(there, clock)
-	assert.Equal(t, p.newerServers(clock), there.Control)
-	for range 20 { // the order of a map is another each time
-		assert.Equal(t, p.ahead(clock.Add(2*pullAfter)), there.Control)
-		p.views[gone.Control].newer = time.Unix(1000, 0)
-		p.views[there.Control].newer = time.Unix(1000, 0)
+	p.handleHeartbeat(live, clock)
+	assert.Equal(t, p.newerServersPeer(clock), live.ControlAddr)
+	for range 20 { // map iteration order varies
+		assert.Equal(t, p.newerConfigPeer(clock.Add(2*pullDelay)), live.ControlAddr)
+		p.views[silent.ControlAddr].configNewerSince = time.Unix(1000, 0)
+		p.views[live.ControlAddr].configNewerSince = time.Unix(1000, 0)
 	}
 }
 
-// On a host that is behind its work a report has waited before it is read: at a host
-// that a flood had overloaded, for seconds.
-func TestTheWaitForTheProcessorAges(t *testing.T) {
+// On an overloaded host a heartbeat waits before it is read, for seconds on a host that was flooded
+// with requests. That time adds to the age that it reports.
+func TestProcessorWaitAddsToViewAge(t *testing.T) {
 	clock := time.Unix(1000, 0)
-	p := lone(t, func() time.Time { return clock }, func() time.Duration { return 300 * time.Millisecond })
+	p := isolatedPeers(t, func() time.Time { return clock }, func() time.Duration { return 300 * time.Millisecond })
 	assert.Assert(t, p.State.TakeConfig(&routing.Config{Version: 5}, nil))
-	p.take(heartbeat{Control: "127.0.0.40:1", DataCentre: "dc", Version: 5, FollowedMs: 9000, AgeMs: 100}, clock)
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.40:1", DataCentre: "dc", ConfigVersion: 5, FollowedMs: 9000, ViewAgeMs: 100}, clock)
 	_, age := p.State.Table()
 	assert.Equal(t, age, 400*time.Millisecond)
 }
 
-// A peer that does not answer with its configuration does not hold up the list
-// of servers.
-func TestFetchesDoNotWaitForEachOther(t *testing.T) {
-	control, udp := ports(t)
-	a := start(t, "127.0.0.42", control, udp)
+// A peer that does not answer a fetch of its configuration must not block the fetch of the server
+// list.
+func TestConfigurationFetchDoesNotBlockServersFetch(t *testing.T) {
+	control, udp := reservePorts(t)
+	a := startRouter(t, "127.0.0.42", control, udp)
 	a.peers.Net.(*network).http.Timeout = time.Hour
-	asked := make(chan struct{}, 1)
+	configAsked := make(chan struct{}, 1)
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathConfig, func(_ http.ResponseWriter, r *http.Request) {
-		asked <- struct{}{}
+		configAsked <- struct{}{}
 		<-r.Context().Done()
 	})
 	mux.HandleFunc(pathChanges, func(w http.ResponseWriter, _ *http.Request) {
-		text, err := cbor.Marshal(packWhole(roster.Snapshot{Servers: []routing.Server{{ID: "x", Service: "app"}}}, roster.Stamp{Version: 9}))
+		data, err := cbor.Marshal(packFullList(roster.Snapshot{Servers: []routing.Server{{ID: "x", Service: "app"}}}, roster.Stamp{Version: 9}))
 		assert.Check(t, err)
-		_, _ = w.Write(text)
+		_, _ = w.Write(data)
 	})
 	ln, err := net.Listen("tcp4", "127.0.0.43:0")
 	assert.NilError(t, err)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { _ = server.Close() })
-	w := heartbeat{Control: ln.Addr().String(), DataCentre: "dc", Version: 5}
-	for len(asked) == 0 {
-		a.peers.take(w, time.Now())
-		time.Sleep(time.Millisecond) // the test's own time limit bounds it
+	w := heartbeat{ControlAddr: ln.Addr().String(), DataCentre: "dc", ConfigVersion: 5}
+	for len(configAsked) == 0 {
+		a.peers.handleHeartbeat(w, time.Now())
+		time.Sleep(time.Millisecond) // bounded by the timeout of the test
 	}
-	w.List = 9
+	w.ListVersion = 9
 	edgetest.Until(t, "the servers", func() bool {
-		a.peers.take(w, time.Now())
+		a.peers.handleHeartbeat(w, time.Now())
 		return a.state.Stamp().Version == 9
 	})
 }
 
-// What is told in some ticks only reaches the other data centres too, which are
-// told in some ticks only.
-func TestOtherDataCentresHearAllKinds(t *testing.T) {
-	assert.Equal(t, sumEvery%ratesEvery, 0)
-	assert.Equal(t, headsEvery%sumEvery, 0)
+// Other data centres are reported to only in some ticks. These must include the ticks in which
+// rates and repeated state are sent.
+func TestSumTicksAlignWithRatesAndRepeats(t *testing.T) {
+	assert.Equal(t, sumTicks%ratesTicks, 0)
+	assert.Equal(t, repeatTicks%sumTicks, 0)
 }
--- a/internal/edge/peers/pending.go
+++ b/internal/edge/peers/pending.go
@@ -9,48 +9,46 @@
 	"github.com/windscale/windscale/internal/edge/state"
 )
 
-// sentMost bounds the parts of one server that a reporter tells on at once. What is
-// not told is read again once, or fetched from a home in vain; a report of 60 servers
-// with so many parts is as long as a datagram may be.
-const sentMost = 200
+// maxSentPerServer is the maximum number of parts of one server that a reporter relays at once. A
+// report of 60 servers with that many parts has the maximum length of a datagram. A part that is
+// not relayed is prefilled once more, or fetched in vain from the prompt's home server.
+const maxSentPerServer = 200
 
-// updates are what is told once: the parts of prompts that were sent to servers, the
-// first tokens that were seen, and the contents under which servers crashed.
+// updates is the state that is sent only once: the parts of prompts that were sent to servers, the
+// observed first tokens, the contents under which servers crashed, and evidence.
 type updates struct {
-	sent    pick.Sent
-	firsts  map[string]pick.FirstTokens
-	crashes []poison.Record
-	// evidence is on new versions of servers.
-	evidence rollout.Evidence
+	sent     pick.Sent
+	firsts   map[string]pick.FirstTokens
+	crashes  []poison.Record
+	evidence rollout.Evidence // on new versions of servers
 }
 
 func newUpdates() updates {
 	return updates{sent: pick.Sent{}, firsts: map[string]pick.FirstTokens{}, evidence: rollout.Evidence{}}
 }
 
-// updatesOf are those of a report.
+// updatesOf returns the updates in a report.
 func updatesOf(r state.Report) updates {
 	return updates{sent: r.Sent, firsts: r.Firsts, crashes: r.Crashes, evidence: r.Evidence}
 }
 
-// empty reports whether there is nothing to tell.
-func (u updates) empty() bool { return len(u.sent)+len(u.firsts)+len(u.crashes)+len(u.evidence) == 0 }
+func (u updates) isEmpty() bool { return len(u.sent)+len(u.firsts)+len(u.crashes)+len(u.evidence) == 0 }
 
-// addCrashes adds contents that are not there yet, as many as a report tells of. A content that
-// stands there is told more of in the next report of its router.
+// addCrashes adds contents that are not known yet, up to maxCrashRecords. More crashes of a known
+// content are added with the next report of their router.
 func (u *updates) addCrashes(crashes []poison.Record) {
 	for _, r := range crashes {
 		known := slices.ContainsFunc(u.crashes, func(k poison.Record) bool { return k.Content == r.Content && len(k.Crashes) >= len(r.Crashes) })
-		if !known && len(u.crashes) < crashesMost {
+		if !known && len(u.crashes) < maxCrashRecords {
 			u.crashes = append(u.crashes, r)
 		}
 	}
 }
 
-// addSent adds parts, as many as are kept.
+// addSent adds parts, up to maxSentPerServer for each server.
 func (u updates) addSent(sent pick.Sent) {
 	for key, parts := range sent {
-		if len(u.sent[key])+len(parts) <= sentMost {
+		if len(u.sent[key])+len(parts) <= maxSentPerServer {
 			u.sent[key] = append(u.sent[key], parts...)
 		}
 	}
@@ -63,76 +61,77 @@
 	}
 }
 
-// pending is what a reporter has yet to tell on.
+// pending holds the updates that a reporter has yet to relay.
 type pending struct {
-	outward updates // to the other data centres: what was told in this one
-	inward  updates // to the routers of this data centre: what was told in any
-	// fellow is evidence of other data centres, which each tell one reporter of this one: it is
-	// for the other reporter.
-	fellow rollout.Evidence
+	remote updates // for the other data centres: the updates of this one
+	local  updates // for the routers of this data centre: the updates of all
+	// otherReporter is evidence of other data centres for the other reporter of this one, since a
+	// data centre sends its evidence to only one of the two.
+	otherReporter rollout.Evidence
 }
 
 func newPending() pending {
-	return pending{outward: newUpdates(), inward: newUpdates(), fellow: rollout.Evidence{}}
+	return pending{remote: newUpdates(), local: newUpdates(), otherReporter: rollout.Evidence{}}
 }
 
-// keep keeps what a report of the kind told. Both reporters of a data centre hear all
-// its routers: parts are told by both, since one datagram may be lost; first tokens
-// by the first of them only, since each counts.
-func (n *pending) keep(k kind, u updates, first bool) {
+// add adds the updates of a report of the given kind. Both reporters of a data centre hear all its
+// routers. Both relay the parts, since a datagram may be lost, but only the first reporter relays
+// first tokens and evidence, since each relayed copy would be counted.
+func (n *pending) add(k kind, u updates, first bool) {
 	if k == kindOwn {
-		n.outward.addSent(u.sent)
-		n.outward.addCrashes(u.crashes)
+		n.remote.addSent(u.sent)
+		n.remote.addCrashes(u.crashes)
 	}
-	n.inward.addSent(u.sent)
-	n.inward.addCrashes(u.crashes)
+	n.local.addSent(u.sent)
+	n.local.addCrashes(u.crashes)
 	if k == kindSum {
-		n.fellow.Add(u.evidence)
+		n.otherReporter.Add(u.evidence)
 	}
 	if k == kindOwn && !first {
 		return
 	}
 	if k == kindOwn {
-		n.outward.evidence.Add(u.evidence)
+		n.remote.evidence.Add(u.evidence)
 	}
 	if k == kindOwn {
-		n.outward.addFirsts(u.firsts)
+		n.remote.addFirsts(u.firsts)
 	}
-	n.inward.addFirsts(u.firsts)
+	n.local.addFirsts(u.firsts)
 }
 
-// keepPending keeps what a report of the kind told, if this router tells it on.
-func (p *Peers) keepPending(k kind, u updates) {
-	if u.empty() || k == kindTotal {
+// addPending adds the updates of a report of the given kind if this router relays them.
+func (p *Peers) addPending(k kind, u updates) {
+	if u.isEmpty() || k == kindTotal {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.spread.IsMesh() && p.spread.IsReporter() {
-		p.pending.keep(k, u, p.spread.IsFirstReporter())
+		p.pending.add(k, u, p.spread.IsFirstReporter())
 	}
 }
 
-// takeFellow returns the evidence that is for the other reporter of this data centre, once.
-func (p *Peers) takeFellow() rollout.Evidence {
+// takeOtherReporterEvidence returns and clears the evidence for the other reporter of this data
+// centre.
+func (p *Peers) takeOtherReporterEvidence() rollout.Evidence {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	fellow := p.pending.fellow
-	p.pending.fellow = rollout.Evidence{}
-	return fellow
+	evidence := p.pending.otherReporter
+	p.pending.otherReporter = rollout.Evidence{}
+	return evidence
 }
 
-// takePending adds this router's own updates to those kept and empties those that are
-// told now.
-func (p *Peers) takePending(own updates, out, in bool) (outward, inward updates) {
+// takePending adds this router's own updates to the pending ones, and returns and clears those that
+// are sent now.
+func (p *Peers) takePending(own updates, takeRemote, takeLocal bool) (remote, local updates) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pending.keep(kindOwn, own, p.spread.IsFirstReporter())
-	if out {
-		outward, p.pending.outward = p.pending.outward, newUpdates()
+	p.pending.add(kindOwn, own, p.spread.IsFirstReporter())
+	if takeRemote {
+		remote, p.pending.remote = p.pending.remote, newUpdates()
 	}
-	if in {
-		inward, p.pending.inward = p.pending.inward, newUpdates()
+	if takeLocal {
+		local, p.pending.local = p.pending.local, newUpdates()
 	}
-	return outward, inward
+	return remote, local
 }
--- a/internal/edge/peers/pending_test.go
+++ b/internal/edge/peers/pending_test.go
@@ -15,89 +15,90 @@
 	"github.com/windscale/windscale/internal/edge/state"
 )
 
-// reporter returns a reporter of 21 routers in two data centres, with so many cores
-// against the others' two.
-func reporter(t *testing.T, now time.Time, cores float32) *Peers {
+// newReporter returns a reporter of 21 routers in two data centres. It has the given number of
+// cores, the other routers have two or three.
+func newReporter(t *testing.T, now time.Time, cores float32) *Peers {
 	t.Helper()
-	p := lone(t, func() time.Time { return now }, noWait)
+	p := isolatedPeers(t, func() time.Time { return now }, noWait)
 	p.Self.Cores = cores
 	p.spread = spread.New(p.Self)
 	for i := range 20 {
-		p.take(heartbeat{Control: fmt.Sprintf("127.0.0.%d:1", 60+i), DataCentre: []string{"dc", "far"}[i%2], Version: 1, Cores: float64(2 + i/18)}, now)
+		p.handleHeartbeat(heartbeat{ControlAddr: fmt.Sprintf("127.0.0.%d:1", 60+i), DataCentre: []string{"dc", "far"}[i%2], ConfigVersion: 1, Cores: float64(2 + i/18)}, now)
 	}
 	assert.Assert(t, !p.spread.IsMesh() && p.spread.IsReporter())
 	return p
 }
 
-// What a router sent where reaches all routers of a large fleet in three reports: its
-// reporter's, that of the other data centre's reporter, and on to its routers.
-// Grounds of the sizes: above 12 routers there are reporters.
-func TestUpdatesReachTheOtherDataCentreOnce(t *testing.T) {
+// In a large fleet the sent parts of prompts reach all routers in three reports: to the
+// router's reporter, to a reporter of the other data centre, and to its routers. Fleets of more than 12
+// routers have reporters.
+func TestUpdatesReachOtherDataCentreOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := reporter(t, now, 9)
+	p := newReporter(t, now, 9)
 	near := pick.Sent{1: {1, 2}}
 	far := pick.Sent{2: {3}}
-	p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Sent: near}, now)
-	p.take(heartbeat{Control: "127.0.0.61:1", DataCentre: "far", Kind: kindSum, Sent: far}, now)
-	p.take(heartbeat{Control: "127.0.0.62:1", DataCentre: "dc", Kind: kindTotal, Sent: pick.Sent{3: {9}}}, now)
-	out, in := p.takePending(updates{sent: pick.Sent{1: {4}}}, true, false)
-	assert.DeepEqual(t, out.sent, pick.Sent{1: {1, 2, 4}})
-	assert.Equal(t, len(in.sent), 0, "it is not told yet")
-	out, in = p.takePending(updates{}, true, true)
-	assert.Equal(t, len(out.sent), 0, "it was told")
-	assert.DeepEqual(t, in.sent, pick.Sent{1: {1, 2, 4}, 2: {3}})
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Sent: near}, now)
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.61:1", DataCentre: "far", Kind: kindSum, Sent: far}, now)
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.62:1", DataCentre: "dc", Kind: kindTotal, Sent: pick.Sent{3: {9}}}, now)
+	remote, local := p.takePending(updates{sent: pick.Sent{1: {4}}}, true, false)
+	assert.DeepEqual(t, remote.sent, pick.Sent{1: {1, 2, 4}})
+	assert.Equal(t, len(local.sent), 0, "not sent yet")
+	remote, local = p.takePending(updates{}, true, true)
+	assert.Equal(t, len(remote.sent), 0, "sent before")
+	assert.DeepEqual(t, local.sent, pick.Sent{1: {1, 2, 4}, 2: {3}})
 }
 
-// In a small fleet each tells each: nothing is kept to be told on, or it would grow.
-func TestAMeshTellsNothingOn(t *testing.T) {
+// In a small fleet every router reports to every other one. Updates kept for relaying would
+// accumulate.
+func TestMeshRelaysNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := lone(t, func() time.Time { return now }, noWait)
-	p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Sent: pick.Sent{1: {1}}}, now)
-	_, in := p.takePending(updates{}, true, true)
-	assert.Equal(t, len(in.sent), 0)
+	p := isolatedPeers(t, func() time.Time { return now }, noWait)
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Sent: pick.Sent{1: {1}}}, now)
+	_, local := p.takePending(updates{}, true, true)
+	assert.Equal(t, len(local.sent), 0)
 }
 
-func TestWhatIsKeptToBeToldIsBounded(t *testing.T) {
+func TestPendingUpdatesAreBounded(t *testing.T) {
 	n := newPending()
-	for range 10 * sentMost {
-		n.keep(kindOwn, updates{sent: pick.Sent{1: {1}}}, true)
+	for range 10 * maxSentPerServer {
+		n.add(kindOwn, updates{sent: pick.Sent{1: {1}}}, true)
 	}
-	assert.Equal(t, len(n.outward.sent[1]), sentMost)
-	assert.Equal(t, len(n.inward.sent[1]), sentMost)
+	assert.Equal(t, len(n.remote.sent[1]), maxSentPerServer)
+	assert.Equal(t, len(n.local.sent[1]), maxSentPerServer)
 }
 
-// Both reporters of a data centre hear the same first tokens; one tells them on, and
-// each reporter those that it alone hears from another data centre.
-func TestFirstTokensAreToldOnOnce(t *testing.T) {
+// Both reporters of a data centre receive the same first tokens, and only one relays them. Each
+// reporter relays those that it alone receives from another data centre.
+func TestFirstTokensAreRelayedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	seen := map[string][5]float32{"llm": {3, 300, 30, 90000, 9000}}
 	counts := map[bool]float64{}
 	for _, first := range []bool{true, false} {
-		cores := float32(2.5) // after one of 3
+		cores := float32(2.5) // ranks after a router with 3
 		if first {
 			cores = 9
 		}
-		p := reporter(t, now, cores)
+		p := newReporter(t, now, cores)
 		assert.Equal(t, p.spread.IsFirstReporter(), first)
-		p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Firsts: seen}, now)
-		p.take(heartbeat{Control: "127.0.0.61:1", DataCentre: "far", Kind: kindSum, Firsts: seen}, now)
-		out, in := p.takePending(updates{}, true, true)
-		counts[first] = out.firsts["llm"].N
+		p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, FirstTokens: seen}, now)
+		p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.61:1", DataCentre: "far", Kind: kindSum, FirstTokens: seen}, now)
+		remote, local := p.takePending(updates{}, true, true)
+		counts[first] = remote.firsts["llm"].N
 		want := 3.0
 		if first {
 			want = 6
 		}
-		assert.Equal(t, in.firsts["llm"].N, want)
+		assert.Equal(t, local.firsts["llm"].N, want)
 	}
 	assert.DeepEqual(t, counts, map[bool]float64{true: 3, false: 0})
 }
 
-// Grounds of the figures: 59 routers of a data centre before 160 engines and 60
-// customers, all in use. The reports between data centres are priced; in their old form
-// such a sum took 5,940 bytes, and each went to both reporters.
-func TestASumOfALargeDataCentreIsShort(t *testing.T) {
+// The figures: 59 routers of a data centre with 160 engines and 60 customers, all in use. Traffic
+// between data centres is charged for. In its previous form such a sum took 5,940 bytes and was
+// sent to both reporters.
+func TestSumOfLargeDataCentreIsSmall(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := lone(t, func() time.Time { return now }, noWait)
+	p := isolatedPeers(t, func() time.Time { return now }, noWait)
 	r := state.NewReport()
 	for i := range 160 {
 		r.Loads[routing.Identity{ID: fmt.Sprintf("i-%08x", i*77777)}.Key()] = pick.Load{Waiting: int64(2000 + 91*i), Memory: int64(60000 + 997*i), Running: 10 + i%50}
@@ -105,11 +106,11 @@
 	for i := range 60 {
 		r.Rates[fmt.Sprintf("cust%03d", i)] = fair.Rates{Demand: 60000, Served: 59000}
 	}
-	text, err := cbor.Marshal(p.heartbeat(kindSum, r, nil))
+	data, err := cbor.Marshal(p.newHeartbeat(kindSum, r, nil))
 	assert.NilError(t, err)
-	assert.Assert(t, len(text) < 3500, "%d bytes", len(text))
+	assert.Assert(t, len(data) < 3500, "%d bytes", len(data))
 	var back heartbeat
-	assert.NilError(t, cbor.Unmarshal(text, &back))
+	assert.NilError(t, cbor.Unmarshal(data, &back))
 	got := back.report(0)
 	for key, l := range r.Loads {
 		assert.Assert(t, max(got.Loads[key].Waiting-l.Waiting, l.Waiting-got.Loads[key].Waiting) <= waitingUnit/2)
--- a/internal/edge/peers/publish.go
+++ b/internal/edge/peers/publish.go
@@ -14,126 +14,127 @@
 	"github.com/windscale/windscale/internal/events"
 )
 
-// olderFor is how long after a heartbeat of a router of an earlier release whole lists of routers
-// are told, as that release needs them.
-const olderFor = 10 * time.Second
+// olderReleaseWindow is how long after a heartbeat of a router of an earlier release whole lists of
+// routers are sent, since that release needs them.
+const olderReleaseWindow = 10 * time.Second
 
-// round is what a router tells at a time.
-type round struct {
-	to      spread.Targets
-	lost    []string
-	mesh    bool
-	heads   []knownRouter
-	known   vouched // nothing, unless older releases need it
-	fleet   []string
-	trusted bool
-	repeat  bool // what is told again and again is due
-	rates   bool
-	sums    sums
-	count   int
-	digests map[string]spread.Digest
-	changes spread.Changes
+// reportRound holds what a router sends in one round of reports.
+type reportRound struct {
+	targets      spread.Targets
+	lost         []string
+	isMesh       bool
+	topRanked    []knownRouter
+	known        liveRouters // empty unless needed by earlier releases
+	fleet        []string
+	trusted      bool
+	repeat       bool // state that is sent repeatedly is due
+	includeRates bool
+	loads        peerLoads
+	fleetSize    int
+	digests      map[string]spread.Digest
+	changes      spread.Changes
 }
 
-// publish sends this router's reports, if it is time for them.
+// publish sends this router's reports if they are due.
 func (p *Peers) publish(now time.Time) {
 	p.mu.Lock()
-	if !p.every(p.spread.ReportPeriod()) {
+	if !p.isDue(p.spread.ReportPeriod()) {
 		p.mu.Unlock()
 		return
 	}
-	r := p.beginRound(now)
+	r := p.newReportRound(now)
 	p.mu.Unlock()
 	for _, addr := range r.lost {
 		events.PeerLost.Log(context.Background(), p.Log, slog.LevelWarn, "peer", addr)
 	}
-	p.State.SetRouters(r.count)
+	p.State.SetRouters(r.fleetSize)
 	if r.repeat {
 		p.State.SetFleet(r.fleet, r.trusted)
 	}
 	own := p.State.Report()
-	if !r.rates {
+	if !r.includeRates {
 		own.Rates = nil
 	}
 	if r.repeat {
 		own.Crashes = append(own.Crashes, p.State.RepeatCrashes()...)
 	}
-	w := r.add(p.heartbeat(kindOwn, own, r.tell(r.known.own)), nil)
-	w.EvidenceFar = wireEvidence(p.takeFellow())
-	p.send(r.to.Own, w)
-	if len(r.to.Sum)+len(r.to.Total) == 0 {
-		p.keepPending(kindOwn, updatesOf(own))
+	w := r.withDigests(p.newHeartbeat(kindOwn, own, r.namedRouters(r.known.direct)), nil)
+	w.RemoteEvidence = evidenceToWire(p.takeOtherReporterEvidence())
+	p.send(r.targets.Own, w)
+	if len(r.targets.Sum)+len(r.targets.Total) == 0 {
+		p.addPending(kindOwn, updatesOf(own))
 		return
 	}
-	outward, inward := p.takePending(updatesOf(own), len(r.to.Sum) > 0, len(r.to.Total) > 0)
-	sum := r.sums
-	sum.centre.Add(own)
-	p.State.LeaveOutLight(sum.centre)
-	if !r.rates {
-		sum.centre.Rates = nil
-		sum.others.Rates = nil
+	remote, local := p.takePending(updatesOf(own), len(r.targets.Sum) > 0, len(r.targets.Total) > 0)
+	loads := r.loads
+	loads.dataCentre.Add(own)
+	p.State.LeaveOutLight(loads.dataCentre)
+	if !r.includeRates {
+		loads.dataCentre.Rates = nil
+		loads.others.Rates = nil
 	}
-	sum.centre.Sent, sum.centre.Firsts, sum.centre.Crashes = outward.sent, outward.firsts, outward.crashes
-	sum.centre.Evidence = outward.evidence
-	p.send(r.to.Sum, r.add(p.heartbeat(kindSum, sum.centre, r.tell(r.known.centre)), []string{p.Self.DataCentre}))
-	sum.others.Add(sum.centre)
-	p.State.LeaveOutLight(sum.others)
-	sum.others.Sent, sum.others.Firsts, sum.others.Crashes = inward.sent, inward.firsts, inward.crashes
-	p.send(r.to.Total, r.add(p.heartbeat(kindTotal, sum.others, r.tell(r.known.all)), r.centres()))
+	loads.dataCentre.Sent, loads.dataCentre.Firsts, loads.dataCentre.Crashes = remote.sent, remote.firsts, remote.crashes
+	loads.dataCentre.Evidence = remote.evidence
+	p.send(r.targets.Sum, r.withDigests(p.newHeartbeat(kindSum, loads.dataCentre, r.namedRouters(r.known.dataCentre)), []string{p.Self.DataCentre}))
+	loads.others.Add(loads.dataCentre)
+	p.State.LeaveOutLight(loads.others)
+	loads.others.Sent, loads.others.Firsts, loads.others.Crashes = local.sent, local.firsts, local.crashes
+	p.send(r.targets.Total, r.withDigests(p.newHeartbeat(kindTotal, loads.others, r.namedRouters(r.known.all)), r.dataCentres()))
 }
 
-// beginRound gathers what is to be told; the lock is held.
-func (p *Peers) beginRound(now time.Time) round {
+// newReportRound collects what is to be sent. The caller must hold p.mu.
+func (p *Peers) newReportRound(now time.Time) reportRound {
 	lost := p.spread.Tick(now)
 	for _, addr := range lost {
 		delete(p.views, addr)
 	}
-	r := round{
-		to:     p.spread.Targets(now, p.sums),
-		lost:   lost,
-		mesh:   p.spread.IsMesh(),
-		repeat: p.every(headsEvery),
-		rates:  p.every(ratesEvery),
-		sums:   p.sum(now),
-		count:  p.spread.FleetSize(),
+	r := reportRound{
+		targets:      p.spread.Targets(now, p.sumRounds),
+		lost:         lost,
+		isMesh:       p.spread.IsMesh(),
+		repeat:       p.isDue(repeatTicks),
+		includeRates: p.isDue(ratesTicks),
+		loads:        p.sumReports(now),
+		fleetSize:    p.spread.FleetSize(),
 	}
 	if r.repeat {
-		r.fleet, r.trusted = p.fleet(now)
-		r.heads = p.heads(now)
-		if r.mesh || now.Sub(p.older) < olderFor {
-			r.known = p.known(now)
+		r.fleet, r.trusted = p.knownFleet(now)
+		r.topRanked = p.topRanked(now)
+		if r.isMesh || now.Sub(p.olderReleaseHeard) < olderReleaseWindow {
+			r.known = p.liveRouters(now)
 		}
 	}
-	if !r.mesh {
+	if !r.isMesh {
 		r.digests = p.spread.Digests()
-		r.changes = p.members.tell(p.spread.TakeChanges(), now)
+		r.changes = p.members.withPrevious(p.spread.TakeChanges(), now)
 	}
-	if p.every(sumEvery) {
-		p.sums++
+	if p.isDue(sumTicks) {
+		p.sumRounds++
 	} else {
-		r.to.Sum = nil
+		r.targets.Sum = nil
 	}
-	if !p.every(totalEvery) {
-		r.to.Total = nil
+	if !p.isDue(totalTicks) {
+		r.targets.Total = nil
 	}
 	return r
 }
 
-// tell returns the routers to name: those that an earlier release needs, or the heads.
-func (r *round) tell(known []knownRouter) []knownRouter {
-	if len(known) > 0 || r.mesh {
+// namedRouters returns the routers that a heartbeat names: those that an earlier release needs, or
+// the top-ranked ones.
+func (r *reportRound) namedRouters(known []knownRouter) []knownRouter {
+	if len(known) > 0 || r.isMesh {
 		return known
 	}
-	return r.heads
+	return r.topRanked
 }
 
-// centres are all data centres of which something is known.
-func (r *round) centres() []string { return slices.Sorted(maps.Keys(r.digests)) }
+// dataCentres returns all known data centres.
+func (r *reportRound) dataCentres() []string { return slices.Sorted(maps.Keys(r.digests)) }
 
-// add has a heartbeat tell of the routers of data centres.
-func (r *round) add(w heartbeat, centres []string) heartbeat {
-	w.Fleet = r.count
-	for _, name := range centres {
+// withDigests adds the digests of the data centres and the changes of their routers to a heartbeat.
+func (r *reportRound) withDigests(w heartbeat, dataCentres []string) heartbeat {
+	w.FleetSize = r.fleetSize
+	for _, name := range dataCentres {
 		d, known := r.digests[name]
 		if !known {
 			continue
@@ -142,38 +143,38 @@
 			w.Digests = map[string]spread.Digest{}
 		}
 		w.Digests[name] = d
-		of := r.changes.In(name)
-		w.Joined = append(w.Joined, knownOf(of.Joined)...)
-		w.Left = append(w.Left, knownOf(of.Left)...)
+		changes := r.changes.In(name)
+		w.Joined = append(w.Joined, toKnownRouters(changes.Joined)...)
+		w.Left = append(w.Left, toKnownRouters(changes.Left)...)
 	}
 	return w
 }
 
-// fleet returns the other routers, and whether they are known well enough to share permits
-// out among all. The lock is held.
-func (p *Peers) fleet(now time.Time) (others []string, trusted bool) {
-	others, most := p.spread.KnownRouters()
-	if p.began.IsZero() {
-		p.began = now
+// knownFleet returns the other routers, and whether they are known well enough to distribute
+// permits among all of them. The caller must hold p.mu.
+func (p *Peers) knownFleet(now time.Time) (others []string, trusted bool) {
+	others, knowsMost := p.spread.KnownRouters()
+	if p.firstReportAt.IsZero() {
+		p.firstReportAt = now
 	}
-	return others, most && now.Sub(p.began) >= joinFor
+	return others, knowsMost && now.Sub(p.firstReportAt) >= discoveryTime
 }
 
-// sums are what a reporter has heard.
-type sums struct {
-	centre state.Report // of the other routers of this data centre
-	others state.Report // of the other data centres
+// peerLoads are the loads that a reporter has received.
+type peerLoads struct {
+	dataCentre state.Report // of the other routers of this data centre
+	others     state.Report // of the other data centres
 }
 
-// sum adds up the reports heard lately; the lock is held.
-func (p *Peers) sum(now time.Time) sums {
-	s := sums{centre: state.NewReport(), others: state.NewReport()}
+// sumReports adds up the recent reports. The caller must hold p.mu.
+func (p *Peers) sumReports(now time.Time) peerLoads {
+	s := peerLoads{dataCentre: state.NewReport(), others: state.NewReport()}
 	for key, r := range p.reports {
 		switch {
-		case now.Sub(r.at) >= spread.LiveTimeout:
+		case now.Sub(r.receivedAt) >= spread.LiveTimeout:
 			delete(p.reports, key)
 		case r.kind == kindOwn:
-			s.centre.Add(r.report)
+			s.dataCentre.Add(r.report)
 		default:
 			s.others.Add(r.report)
 		}
@@ -181,69 +182,69 @@
 	return s
 }
 
-// heads are the first routers in the ranking of each data centre; the lock is held.
-func (p *Peers) heads(now time.Time) (list []knownRouter) {
+// topRanked returns the top-ranked routers of each data centre. The caller must hold p.mu.
+func (p *Peers) topRanked(now time.Time) (list []knownRouter) {
 	for _, v := range p.spread.TopRanked(now) {
 		list = append(list, knownRouter{Addr: v.Addr, DataCentre: v.DataCentre, Cores: v.Cores, AgeMs: v.Age.Milliseconds()})
 	}
 	return list
 }
 
-// vouched are the routers that a report of each kind says are live.
-type vouched struct {
-	own    []knownRouter // those that this router hears itself
-	centre []knownRouter // those of its data centre
-	all    []knownRouter
+// liveRouters holds the routers that a report of each kind declares live.
+type liveRouters struct {
+	direct     []knownRouter // heard by this router itself
+	dataCentre []knownRouter // of its data centre
+	all        []knownRouter
 }
 
-// knownMost is how many routers a heartbeat names where whole lists are told: in small fleets, and
-// to routers of an earlier release.
-func (p *Peers) knownMost() int { return maxDatagram / 2 / knownSize }
+// maxKnownRouters returns how many routers a heartbeat names where whole lists are sent: in small
+// fleets, and to routers of an earlier release.
+func (p *Peers) maxKnownRouters() int { return maxDatagram / 2 / knownRouterSize }
 
-// knownSize is about what a router takes in a list.
-const knownSize = 40
+// knownRouterSize is the approximate encoded size of a knownRouter.
+const knownRouterSize = 40
 
-// known are the routers that this one vouches for. Each kind of report
-// names those only that its receivers can't hear better from another. The lock is held.
-func (p *Peers) known(now time.Time) vouched {
-	var v vouched
-	mesh := p.spread.IsMesh()
+// liveRouters returns the routers that this one declares live. Each kind of report names only those
+// about which its receivers have no better source. The caller must hold p.mu.
+func (p *Peers) liveRouters(now time.Time) liveRouters {
+	var v liveRouters
+	isMesh := p.spread.IsMesh()
 	for _, m := range p.spread.Live() {
 		k := knownRouter{Addr: m.Addr, DataCentre: m.DataCentre, Cores: m.Cores, AgeMs: p.spread.Age(m.Addr, now).Milliseconds()}
 		v.all = append(v.all, k)
 		if m.DataCentre == p.Self.DataCentre {
-			v.centre = append(v.centre, k)
+			v.dataCentre = append(v.dataCentre, k)
 		}
-		if q := p.views[m.Addr]; mesh || q != nil && now.Sub(q.heard) < spread.LiveTimeout {
-			v.own = append(v.own, k)
+		if q := p.views[m.Addr]; isMesh || q != nil && now.Sub(q.lastHeard) < spread.LiveTimeout {
+			v.direct = append(v.direct, k)
 		}
 	}
 	return v
 }
 
-// send sends one report to each address.
-func (p *Peers) send(to []string, w heartbeat) {
-	if len(to) == 0 {
+// send sends a heartbeat to each address.
+func (p *Peers) send(addrs []string, w heartbeat) {
+	if len(addrs) == 0 {
 		return
 	}
-	text, err := cbor.Marshal(w)
-	if err == nil && len(text) > maxDatagram {
-		err = &TooLongError{Kind: w.Kind.String(), Bytes: len(text)}
+	data, err := cbor.Marshal(w)
+	if err == nil && len(data) > maxDatagram {
+		err = &TooLongError{Kind: w.Kind.String(), Bytes: len(data)}
 	}
 	if err != nil {
 		events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelError, "err", err)
 		return
 	}
-	for _, control := range to {
-		if err := p.Net.Send(control, text); err != nil {
-			events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelWarn, "peer", control, "err", err)
+	for _, addr := range addrs {
+		if err := p.Net.Send(addr, data); err != nil {
+			events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelWarn, "peer", addr, "err", err)
 			continue
 		}
-		p.Stats.sent[w.Kind].add(1, len(text))
+		p.Stats.sent[w.Kind].add(1, len(data))
 	}
 }
 
-// TooLongError says that a heartbeat is longer than a datagram may be.
+// TooLongError means that a heartbeat exceeds the maximum length of a datagram.
 type TooLongError struct {
 	Kind  string
 	Bytes int
@@ -252,5 +253,4 @@
 // Error implements error.
 func (e *TooLongError) Error() string { return "heartbeat too long for a datagram: " + e.Kind }
 
-// contains reports whether the address is one of them.
 func contains(addrs []string, addr string) bool { return slices.Contains(addrs, addr) }
--- a/internal/edge/peers/pull.go
+++ b/internal/edge/peers/pull.go
@@ -18,155 +18,155 @@
 )
 
 const (
-	// differAfter is how long a list of routers may differ from that of who tells it before it is
-	// fetched: changes are told twice.
-	differAfter = 1500 * time.Millisecond
-	// routersEvery is the least time between two such fetches from the same router.
-	routersEvery = time.Second
+	// mismatchTimeout is how long a list of routers may differ from that of the peer that sends it
+	// before it is fetched. Changes are sent twice, so a shorter mismatch may resolve itself.
+	mismatchTimeout = 1500 * time.Millisecond
+	// routersPullInterval is the minimum time between two such fetches from the same router.
+	routersPullInterval = time.Second
 )
 
-// fetch is one kind of fetches, of which one at most is in progress.
+// fetch is a kind of fetch, of which at most one is in progress.
 type fetch struct {
-	busy atomic.Bool
-	last time.Time // when the last one began
+	busy      atomic.Bool
+	lastStart time.Time
 }
 
-// fetch begins to get a path of a peer, unless an earlier fetch of the kind is in progress.
-func (p *Peers) fetch(f *fetch, now time.Time, from, path string, take func([]byte, error)) {
+// startFetch begins to fetch a path from a peer, unless an earlier fetch of the same kind is in
+// progress.
+func (p *Peers) startFetch(f *fetch, now time.Time, from, path string, handle func([]byte, error)) {
 	if !f.busy.CompareAndSwap(false, true) {
 		return
 	}
-	f.last = now
-	p.Net.Fetch(from, path, func(text []byte, err error) {
+	f.lastStart = now
+	p.Net.Fetch(from, path, func(data []byte, err error) {
 		defer f.busy.Store(false)
-		p.Stats.fetched.add(1, len(text))
-		take(text, err)
+		p.Stats.fetched.add(1, len(data))
+		handle(data, err)
 	})
 }
 
-// pullFailed notes that a fetch brought nothing.
-func (p *Peers) pullFailed(from, what string, err error) {
+func (p *Peers) logPullFailed(from, what string, err error) {
 	events.PeerPullFailed.Log(context.Background(), p.Log, slog.LevelWarn, "peer", from, "what", what, "err", err)
 }
 
-// pullNewer begins to fetch the configuration of a peer that is ahead.
-func (p *Peers) pullNewer(now time.Time) {
-	if p.configs.busy.Load() {
+// pullConfig begins to fetch a newer configuration from a peer.
+func (p *Peers) pullConfig(now time.Time) {
+	if p.configFetch.busy.Load() {
 		return
 	}
-	if from := p.ahead(now); from != "" {
-		p.fetch(&p.configs, now, from, pathConfig, func(text []byte, err error) { p.takeConfig(from, text, err) })
+	if from := p.newerConfigPeer(now); from != "" {
+		p.startFetch(&p.configFetch, now, from, pathConfig, func(data []byte, err error) { p.applyConfig(from, data, err) })
 	}
 }
 
-// pullList begins to fetch the list of servers of a peer that is ahead, or what has changed of it.
-func (p *Peers) pullList(now time.Time) {
-	if p.servers.busy.Load() || now.Sub(p.servers.last) < p.serversPause() {
+// pullServers begins to fetch a newer server list, or the changes of it, from a peer.
+func (p *Peers) pullServers(now time.Time) {
+	if p.serversFetch.busy.Load() || now.Sub(p.serversFetch.lastStart) < p.serversPullPause() {
 		return
 	}
-	if from := p.newerServers(now); from != "" {
-		p.fetch(&p.servers, now, from, changesPath(p.State.Stamp()), func(text []byte, err error) { p.takeList(from, text, err) })
+	if from := p.newerServersPeer(now); from != "" {
+		p.startFetch(&p.serversFetch, now, from, changesPath(p.State.Stamp()), func(data []byte, err error) { p.applyServers(from, data, err) })
 	}
 }
 
 // pullMembers begins to fetch lists of routers that differ.
 func (p *Peers) pullMembers(now time.Time) {
-	if p.routers.busy.Load() {
+	if p.routersFetch.busy.Load() {
 		return
 	}
 	p.mu.Lock()
-	from, centres := p.members.due(now)
+	from, dataCentres := p.members.due(now)
 	p.mu.Unlock()
 	if from == "" {
 		return
 	}
-	query := url.Values{"dc": {strings.Join(centres, ",")}}
-	p.fetch(&p.routers, now, from, pathRouters+"?"+query.Encode(), func(text []byte, err error) { p.takeMembers(from, text, err) })
+	query := url.Values{"dc": {strings.Join(dataCentres, ",")}}
+	p.startFetch(&p.routersFetch, now, from, pathRouters+"?"+query.Encode(), func(data []byte, err error) { p.applyMembers(from, data, err) })
 }
 
-// ahead returns a peer whose configuration is newer, of several one of this data centre, and of
-// those the one heard last: at once where this router is told by others, after a while where it
-// follows the store itself.
-func (p *Peers) ahead(now time.Time) string {
+// newerConfigPeer returns a peer with a newer configuration, or "". It prefers peers of this data
+// centre, and among those the one heard last. A router that relies on the readers fetches at once;
+// one that follows the store itself first waits for pullDelay.
+func (p *Peers) newerConfigPeer(now time.Time) string {
 	role := p.Role()
 	version := p.State.Version()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	best := ""
-	for control, q := range p.views {
-		if q.version <= version {
-			q.newer = time.Time{} // it has come from elsewhere; the peer may never tell again
+	for addr, q := range p.views {
+		if q.configVersion <= version {
+			q.configNewerSince = time.Time{} // it arrived from elsewhere, and the peer may never report again
 			continue
 		}
-		if role != follow.Informed && now.Sub(q.newer) <= pullAfter {
+		if role != follow.Informed && now.Sub(q.configNewerSince) <= pullDelay {
 			continue
 		}
-		if best == "" || p.before(control, best) {
-			best = control
+		if best == "" || p.isPreferred(addr, best) {
+			best = addr
 		}
 	}
 	if best != "" {
-		p.views[best].newer = now // not again at once
+		p.views[best].configNewerSince = now // delays the next fetch from this peer
 	}
 	return best
 }
 
-// before reports whether a peer is the better one to fetch from: one of this data centre, then the
-// one that was heard last.
-func (p *Peers) before(control, than string) bool {
-	q, o := p.views[control], p.views[than]
-	near, other := q.dataCentre == p.Self.DataCentre, o.dataCentre == p.Self.DataCentre
-	if near != other {
-		return near
+// isPreferred reports whether the first peer is preferred for a fetch: peers of this data centre
+// come first, then the peer heard last.
+func (p *Peers) isPreferred(addr, other string) bool {
+	q, o := p.views[addr], p.views[other]
+	isLocal, otherIsLocal := q.dataCentre == p.Self.DataCentre, o.dataCentre == p.Self.DataCentre
+	if isLocal != otherIsLocal {
+		return isLocal
 	}
-	if q.heard.Equal(o.heard) {
-		return control < than
+	if q.lastHeard.Equal(o.lastHeard) {
+		return addr < other
 	}
-	return q.heard.After(o.heard)
+	return q.lastHeard.After(o.lastHeard)
 }
 
-// serversPause is the least time between two fetches of the servers.
-func (p *Peers) serversPause() time.Duration {
+// serversPullPause returns the minimum time between two fetches of the server list.
+func (p *Peers) serversPullPause() time.Duration {
 	if p.Role() == follow.Informed {
-		return reportEvery
+		return tickInterval
 	}
-	return serversEvery
+	return serversPullInterval
 }
 
-// newerServers returns a live peer whose list of servers is newer and whose report
-// of the store is fresh, one of this data centre if there is any. A router that follows the store
-// asks only when its own view is old: its feed tells the same.
-func (p *Peers) newerServers(now time.Time) string {
+// newerServersPeer returns a live peer with a newer server list and a recent store answer,
+// preferably of this data centre, or "". A router that follows the store asks only if its own view
+// is old, since the store sends it the same changes.
+func (p *Peers) newerServersPeer(now time.Time) string {
 	_, age := p.State.Table()
 	stamp := p.State.Stamp()
-	if p.Role() != follow.Informed && age < viewOld && p.State.Ready() {
+	if p.Role() != follow.Informed && age < maxViewAge && p.State.Ready() {
 		return ""
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, bestNear := "", false
-	freshest := min(age, viewOld)
+	best, bestIsLocal := "", false
+	freshest := min(age, maxViewAge)
 	for addr, q := range p.views {
-		old := now.Sub(q.asOf)
-		if !q.stamp.After(stamp) || old > min(age, viewOld) || !p.spread.IsLive(addr) {
+		peerAge := now.Sub(q.storeReadAt)
+		if !q.listStamp.After(stamp) || peerAge > min(age, maxViewAge) || !p.spread.IsLive(addr) {
 			continue
 		}
-		near := q.dataCentre == p.Self.DataCentre
-		if !near && now.Sub(q.ahead) < pullAfter && p.State.Ready() && !p.spread.IsMesh() {
-			continue // it may be on its way
+		isLocal := q.dataCentre == p.Self.DataCentre
+		if !isLocal && now.Sub(q.listNewerSince) < pullDelay && p.State.Ready() && !p.spread.IsMesh() {
+			continue // it may arrive within this data centre
 		}
-		fresher := old < freshest || old == freshest && addr < best
-		if best == "" || near && !bestNear || near == bestNear && fresher {
-			best, bestNear, freshest = addr, near, old
+		isFresher := peerAge < freshest || peerAge == freshest && addr < best
+		if best == "" || isLocal && !bestIsLocal || isLocal == bestIsLocal && isFresher {
+			best, bestIsLocal, freshest = addr, isLocal, peerAge
 		}
 	}
 	return best
 }
 
-// takeConfig takes a peer's configuration.
-func (p *Peers) takeConfig(from string, raw []byte, err error) {
+// applyConfig applies a peer's configuration.
+func (p *Peers) applyConfig(from string, raw []byte, err error) {
 	if err != nil {
-		p.pullFailed(from, "configuration", err)
+		p.logPullFailed(from, "configuration", err)
 		return
 	}
 	c, err := p.Decode(raw)
@@ -179,68 +179,68 @@
 	}
 }
 
-// changesPath asks for what has changed of the list since the stamp.
+// changesPath returns the path of the changes of the server list since the stamp.
 func changesPath(since roster.Stamp) string {
 	return fmt.Sprintf("%s?era=%d&ver=%d&edits=%d", pathChanges, since.Era, since.Version, since.Edits)
 }
 
-// takeList takes a peer's list of servers, or what has changed of it.
-func (p *Peers) takeList(from string, text []byte, err error) {
-	if isMissing(err) {
+// applyServers applies a peer's server list, or the changes of it.
+func (p *Peers) applyServers(from string, data []byte, err error) {
+	if isNotFound(err) {
 		p.fetchOlderList(from)
 		return
 	}
 	if err != nil {
-		p.pullFailed(from, "servers", err)
+		p.logPullFailed(from, "servers", err)
 		return
 	}
 	var c listChange
-	if err := cbor.Unmarshal(text, &c); err != nil {
+	if err := cbor.Unmarshal(data, &c); err != nil {
 		events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelWarn, "peer", from, "err", err)
 		return
 	}
-	p.takeListChange(from, c)
+	p.applyListChange(from, c)
 }
 
-// takeListChange puts a list, or changes, in force.
-func (p *Peers) takeListChange(from string, c listChange) {
-	taken := false
-	if c.Whole {
-		t := c.told()
-		taken = len(t.Servers)+len(t.Doubtful) > 0 && p.State.ServersToldBy(t, c.As)
+// applyListChange puts a server list, or changes of it, in force.
+func (p *Peers) applyListChange(from string, c listChange) {
+	applied := false
+	if c.Full {
+		t := c.snapshot()
+		applied = len(t.Servers)+len(t.Doubtful) > 0 && p.State.ServersToldBy(t, c.To)
 	} else {
-		taken = p.State.ServersChangedBy(c.delta())
+		applied = p.State.ServersChangedBy(c.delta())
 	}
-	if taken {
-		p.logList(from, c)
+	if applied {
+		p.logListChange(from, c)
 	}
 }
 
-// isMissing reports whether a peer does not know what it was asked for.
-func isMissing(err error) bool {
+// isNotFound reports whether a peer does not know the requested path.
+func isNotFound(err error) bool {
 	refused, ok := err.(*StatusError)
 	return ok && refused.Status == http.StatusNotFound
 }
 
-// takeMembers takes lists of routers.
-func (p *Peers) takeMembers(from string, text []byte, err error) {
+// applyMembers applies lists of routers.
+func (p *Peers) applyMembers(from string, data []byte, err error) {
 	if err != nil {
-		p.pullFailed(from, "routers", err)
+		p.logPullFailed(from, "routers", err)
 		return
 	}
 	var lists []memberList
-	if err := cbor.Unmarshal(text, &lists); err != nil {
+	if err := cbor.Unmarshal(data, &lists); err != nil {
 		events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelWarn, "peer", from, "err", err)
 		return
 	}
-	var centres []string
+	var dataCentres []string
 	p.mu.Lock()
 	for _, l := range lists {
 		p.spread.SetMembers(l.DataCentre, l.unpack(), p.Now())
-		delete(p.members.differ, l.DataCentre)
-		centres = append(centres, l.DataCentre)
+		delete(p.members.mismatchSince, l.DataCentre)
+		dataCentres = append(dataCentres, l.DataCentre)
 	}
 	live := p.spread.LiveCount()
 	p.mu.Unlock()
-	events.RoutersFetched.Log(context.Background(), p.Log, slog.LevelInfo, "peer", from, "dataCentres", centres, "routers", live)
+	events.RoutersFetched.Log(context.Background(), p.Log, slog.LevelInfo, "peer", from, "dataCentres", dataCentres, "routers", live)
 }
--- a/internal/edge/peers/push.go
+++ b/internal/edge/peers/push.go
@@ -14,163 +14,165 @@
 )
 
 const (
-	// pushEvery is in how many ticks at least a reporter tells on what has changed of the list of
-	// servers, or that there is a newer configuration: changes of a release come by the dozen a
-	// second.
-	pushEvery = 5
-	// pushMost bounds the servers that such a heartbeat names, some 50 bytes each. Who is further
-	// behind fetches what it lacks.
-	pushMost = 160
+	// pushTicks is the minimum number of ticks between two heartbeats with which a reporter relays
+	// changes of the server list or announces a newer configuration. A release causes dozens of
+	// changes a second.
+	pushTicks = 5
+	// maxPushedServers is the maximum number of servers in such a heartbeat, some 50 bytes each. A
+	// router that is further behind fetches what it lacks.
+	maxPushedServers = 160
 )
 
-// seen is the view that a router last told on.
-type seen struct {
-	version int64
-	stamp   roster.Stamp
-	evac    roster.Stamp
+// viewVersions identifies a view.
+type viewVersions struct {
+	configVersion int64
+	listStamp     roster.Stamp
+	evacStamp     roster.Stamp
 }
 
-// pushed is what a reporter has told on.
-type pushed struct {
-	last seen
-	// from is the list's stamp two heartbeats ago: each change is told twice, so that a lost
+// pushState tracks what a reporter has relayed.
+type pushState struct {
+	last viewVersions
+	// The list's stamps as of the last two pushes. Each change is sent twice, so that a lost
 	// datagram leaves no gap.
-	from, before roster.Stamp
-	again        bool // the last changes are to be told once more
+	lastStamp, secondLastStamp roster.Stamp
+	repeatDue                  bool // the last changes are to be sent once more
 }
 
-// push has a reporter tell on at once what is new in its view: in its data centre, and a router
-// that follows the store in those that have none which does.
+// push sends what is new in a reporter's view to its data centre at once. A router that follows the
+// store also sends it to data centres without a reader.
 func (p *Peers) push(now time.Time) {
 	p.mu.Lock()
-	if p.spread.IsMesh() || !p.spread.IsReporter() || !p.every(pushEvery) {
+	if p.spread.IsMesh() || !p.spread.IsReporter() || !p.isDue(pushTicks) {
 		p.mu.Unlock()
 		return
 	}
-	_, evac := p.State.EvacuationsTold()
-	view := seen{p.State.Version(), p.State.Stamp(), evac}
-	if view == p.pushed.last && !p.pushed.again {
+	_, evacStamp := p.State.EvacuationsTold()
+	view := viewVersions{p.State.Version(), p.State.Stamp(), evacStamp}
+	if view == p.pushed.last && !p.pushed.repeatDue {
 		p.mu.Unlock()
 		return
 	}
-	p.pushed.again = view != p.pushed.last
-	from := p.pushed.before
-	p.pushed.before, p.pushed.from = p.pushed.from, view.stamp
+	p.pushed.repeatDue = view != p.pushed.last
+	from := p.pushed.secondLastStamp
+	p.pushed.secondLastStamp, p.pushed.lastStamp = p.pushed.lastStamp, view.listStamp
 	p.pushed.last = view
 	to := p.pushTargets()
 	p.mu.Unlock()
-	w := p.heartbeat(kindUpdate, state.NewReport(), nil)
-	w.Changes = p.changesSince(from)
+	w := p.newHeartbeat(kindUpdate, state.NewReport(), nil)
+	w.Changes = p.encodeChangesSince(from)
 	p.send(to, w)
 }
 
-// changesSince renders what has changed of the list of servers, if it is short enough.
-func (p *Peers) changesSince(from roster.Stamp) cbor.RawMessage {
+// encodeChangesSince encodes the changes of the server list if they are short enough.
+func (p *Peers) encodeChangesSince(from roster.Stamp) cbor.RawMessage {
 	d, ok := p.State.ServersSince(from)
 	if !ok || d.Size() == 0 {
 		return nil
 	}
-	if d.Size() > pushMost {
-		p.Stats.leaveOut(partChanges, d.Size())
+	if d.Size() > maxPushedServers {
+		p.Stats.countTruncated(partChanges, d.Size())
 		return nil
 	}
-	text, err := cbor.Marshal(packDelta(d))
+	data, err := cbor.Marshal(packDelta(d))
 	if err != nil {
-		return nil // the list can be fetched
+		return nil // peers can fetch the list
 	}
-	return text
+	return data
 }
 
-// pushTargets returns whom to tell: the other reporter, this one's part of the data centre's
-// other routers, and the reporters of the data centres that this router tells. The lock is held.
+// pushTargets returns the receivers of a push: the other reporter, this reporter's share of the
+// other routers of the data centre, and the reporters of its pushedDataCentres. The caller must
+// hold p.mu.
 func (p *Peers) pushTargets() (to []string) {
-	mine := p.spread.Reporters(p.Self.DataCentre)
-	place := slices.Index(mine, p.Self.Addr)
+	reporters := p.spread.Reporters(p.Self.DataCentre)
+	index := slices.Index(reporters, p.Self.Addr)
 	for _, m := range p.spread.Members(p.Self.DataCentre) {
-		other := slices.Contains(mine, m.Addr)
-		if m.Addr != p.Self.Addr && (other || int(xxhash.Sum64String(m.Addr)%uint64(len(mine))) == place) {
+		isReporter := slices.Contains(reporters, m.Addr)
+		if m.Addr != p.Self.Addr && (isReporter || int(xxhash.Sum64String(m.Addr)%uint64(len(reporters))) == index) {
 			to = append(to, m.Addr)
 		}
 	}
-	for _, centre := range p.tells() {
-		to = append(to, p.spread.Reporters(centre)...)
+	for _, dataCentre := range p.pushedDataCentres() {
+		to = append(to, p.spread.Reporters(dataCentre)...)
 	}
 	return to
 }
 
-// tells returns the data centres that this router tells of changes: the readers share out those
-// that have no reader of their own. The lock is held.
-func (p *Peers) tells() (centres []string) {
+// pushedDataCentres returns the data centres to which this router sends changes: the data centres
+// without a reader are divided among the readers. The caller must hold p.mu.
+func (p *Peers) pushedDataCentres() (dataCentres []string) {
 	readers := p.spread.Readers()
-	at := slices.Index(readers, p.Self.Addr)
-	if at < 0 {
+	index := slices.Index(readers, p.Self.Addr)
+	if index < 0 {
 		return nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.spread.Digests())) {
-		own := p.spread.Reporters(name)
-		follows := slices.ContainsFunc(readers, func(r string) bool { return contains(own, r) })
-		if !follows && int(xxhash.Sum64String(name)%uint64(len(readers))) == at {
-			centres = append(centres, name)
+		reporters := p.spread.Reporters(name)
+		hasReader := slices.ContainsFunc(readers, func(r string) bool { return contains(reporters, r) })
+		if !hasReader && int(xxhash.Sum64String(name)%uint64(len(readers))) == index {
+			dataCentres = append(dataCentres, name)
 		}
 	}
-	return centres
+	return dataCentres
 }
 
-// missingMost is how many routers changes may still tell of, one after the other.
-const missingMost = 16
+// maxMissing is the largest difference in the number of routers that later changes may still
+// resolve one by one.
+const maxMissing = 16
 
-// memberSync is how the lists of routers are kept alike.
+// memberSync keeps the lists of routers consistent across the fleet.
 type memberSync struct {
-	told    spread.Changes       // the last changes, told twice
-	differ  map[string]time.Time // since when a data centre's list differs from that of who tells it
-	sources map[string]string    // who does
-	fetched map[string]time.Time // when lists were fetched from a router last
+	lastChanges   spread.Changes       // changes of the previous round, sent once more
+	mismatchSince map[string]time.Time // by data centre: since when its list differs from the sender's
+	sources       map[string]string    // by data centre: the sender of its digest
+	lastFetched   map[string]time.Time // by router: time of the last fetch of lists from it
 }
 
 func newMemberSync() memberSync {
-	return memberSync{differ: map[string]time.Time{}, sources: map[string]string{}, fetched: map[string]time.Time{}}
+	return memberSync{mismatchSince: map[string]time.Time{}, sources: map[string]string{}, lastFetched: map[string]time.Time{}}
 }
 
-// tell returns the changes to tell: the new ones and those before.
-func (m *memberSync) tell(fresh spread.Changes, _ time.Time) spread.Changes {
-	all := m.told.Merge(fresh)
-	m.told = fresh
+// withPrevious returns the changes to send: the new ones and those of the previous round.
+func (m *memberSync) withPrevious(fresh spread.Changes, _ time.Time) spread.Changes {
+	all := m.lastChanges.Merge(fresh)
+	m.lastChanges = fresh
 	return all
 }
 
-// compare notes the data centres of which another router told, and of those the ones whose lists
-// differ from this router's. Where more routers are missing than changes are told at a time, the
-// list is due at once.
-func (m *memberSync) compare(from string, told, own map[string]spread.Digest, differ []string, now time.Time) {
-	for name, d := range told {
-		if !slices.Contains(differ, name) {
-			delete(m.differ, name)
+// recordMismatches records which of the data centres in a peer's digests have lists that differ
+// from this router's. If more routers differ than changes are sent for at a time, the list is due
+// at once.
+func (m *memberSync) recordMismatches(from string, peerDigests, ownDigests map[string]spread.Digest, mismatched []string, now time.Time) {
+	for name, d := range peerDigests {
+		if !slices.Contains(mismatched, name) {
+			delete(m.mismatchSince, name)
 			continue
 		}
 		m.sources[name] = from
-		missing := d.Routers - own[name].Routers
+		missing := d.Routers - ownDigests[name].Routers
 		switch {
-		case missing > missingMost || -missing > missingMost:
-			m.differ[name] = now.Add(-differAfter)
-		case m.differ[name].IsZero():
-			m.differ[name] = now
+		case missing > maxMissing || -missing > maxMissing:
+			m.mismatchSince[name] = now.Add(-mismatchTimeout)
+		case m.mismatchSince[name].IsZero():
+			m.mismatchSince[name] = now
 		}
 	}
 }
 
-// due returns the data centres whose lists have differed for so long that a change was lost, and
-// who is to be asked for them now.
-func (m *memberSync) due(now time.Time) (from string, centres []string) {
-	for _, name := range slices.Sorted(maps.Keys(m.differ)) {
-		since, source := m.differ[name], m.sources[name]
-		if now.Sub(since) < differAfter || now.Sub(m.fetched[source]) < routersEvery || from != "" && source != from {
+// due returns the data centres whose lists have differed for so long that a change must have been
+// lost, and the router to fetch them from now.
+func (m *memberSync) due(now time.Time) (from string, dataCentres []string) {
+	for _, name := range slices.Sorted(maps.Keys(m.mismatchSince)) {
+		since, source := m.mismatchSince[name], m.sources[name]
+		if now.Sub(since) < mismatchTimeout || now.Sub(m.lastFetched[source]) < routersPullInterval || from != "" && source != from {
 			continue
 		}
 		from = source
-		centres = append(centres, name)
+		dataCentres = append(dataCentres, name)
 	}
 	if from != "" {
-		m.fetched[from] = now
+		m.lastFetched[from] = now
 	}
-	return from, centres
+	return from, dataCentres
 }
--- a/internal/edge/peers/receive.go
+++ b/internal/edge/peers/receive.go
@@ -13,13 +13,13 @@
 	"github.com/windscale/windscale/internal/events"
 )
 
-// answerEvery is the least time between two answers to the same router.
-const answerEvery = 500 * time.Millisecond
+// answerInterval is the minimum time between two answers to the same router.
+const answerInterval = 500 * time.Millisecond
 
-// Receive takes the peers' datagrams until ctx ends, and closes the socket then: a router
-// that hears no other would wait for a datagram and never end.
+// Receive handles the peers' datagrams until ctx ends. It then closes the socket, since the read
+// would otherwise block forever if no other router sends.
 func (p *Peers) Receive(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() }) // it is closed once
+	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() }) // closed only here
 	defer stop()
 	buf := make([]byte, maxDatagram)
 	for {
@@ -31,277 +31,277 @@
 			events.PeerMalformed.Log(ctx, p.Log, slog.LevelWarn, "err", err)
 			continue
 		}
-		p.Take(buf[:n])
+		p.HandleDatagram(buf[:n])
 	}
 }
 
-// Take takes a datagram. The text may be changed afterwards.
-func (p *Peers) Take(text []byte) {
+// HandleDatagram handles a datagram. It does not retain data.
+func (p *Peers) HandleDatagram(data []byte) {
 	var w heartbeat
-	if err := cbor.Unmarshal(text, &w); err != nil {
+	if err := cbor.Unmarshal(data, &w); err != nil {
 		events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelWarn, "err", err)
 		return
 	}
-	p.take(w, p.Now())
+	p.handleHeartbeat(w, p.Now())
 }
 
-// take takes a peer's report.
-func (p *Peers) take(w heartbeat, now time.Time) {
-	if w.Control == p.Self.Addr || w.Control == "" {
+// handleHeartbeat handles a heartbeat of a peer.
+func (p *Peers) handleHeartbeat(w heartbeat, now time.Time) {
+	if w.ControlAddr == p.Self.Addr || w.ControlAddr == "" {
 		return
 	}
 	if w.Joining {
-		p.takeHello(w, now)
+		p.handleJoinRequest(w, now)
 		return
 	}
-	p.takeEra(w.Control, w.Era)
-	evacuated, as := w.evacuations(p.Wait())
-	p.State.EvacuationsToldBy(evacuated, as).Log(p.Log, w.Control, as)
-	p.takeRollouts(w.Control, w.Rollouts, p.Wait())
-	p.takeChanges(w)
+	p.applyEra(w.ControlAddr, w.ListEra)
+	evacuated, evacStamp := w.evacuations(p.ProcessorWait())
+	p.State.EvacuationsToldBy(evacuated, evacStamp).Log(p.Log, w.ControlAddr, evacStamp)
+	p.applyRollouts(w.ControlAddr, w.Rollouts, p.ProcessorWait())
+	p.applyChanges(w)
 	version, stamp := p.State.Version(), p.State.Stamp()
 	p.mu.Lock()
-	found := p.spread.ObserveDirect(w.sender(), now)
-	p.takeRouters(w, now)
-	p.view(w, version, stamp.After(w.stamp()) || stamp == w.stamp(), now)
-	use := p.use(w)
-	vouches := p.vouches(w)
-	answer := p.owesAnswer(w, now)
-	report := w.report(p.Wait())
-	if use == useOther {
+	revived := p.spread.ObserveDirect(w.sender(), now)
+	p.applyRouters(w, now)
+	p.recordView(w, version, stamp.After(w.stamp()) || stamp == w.stamp(), now)
+	usage := p.usageOf(w)
+	trustedAge := p.hasTrustedAge(w)
+	shouldAnswer := p.shouldAnswer(w, now)
+	report := w.report(p.ProcessorWait())
+	if usage == useOther {
 		if len(report.Rates) == 0 {
-			report.Rates = p.reports[w.key()].report.Rates // told every few reports
+			report.Rates = p.reports[w.reportKey()].report.Rates // only some reports contain rates
 		}
-		p.reports[w.key()] = heardReport{at: now, kind: w.Kind, report: report}
+		p.reports[w.reportKey()] = receivedReport{receivedAt: now, kind: w.Kind, report: report}
 	}
 	p.mu.Unlock()
-	if found {
-		events.PeerFound.Log(context.Background(), p.Log, slog.LevelInfo, "peer", w.Control, "version", w.Version)
+	if revived {
+		events.PeerFound.Log(context.Background(), p.Log, slog.LevelInfo, "peer", w.ControlAddr, "version", w.ConfigVersion)
 	}
-	if answer {
-		p.answer(w.Control, nil)
+	if shouldAnswer {
+		p.sendAnswer(w.ControlAddr, nil)
 	}
 	if w.Answer {
-		p.takeOffer(w, now)
+		p.handleOffer(w, now)
 	}
-	p.takeUpdates(w, report)
-	switch use {
+	p.applyUpdates(w, report)
+	switch usage {
 	case useOther:
-		p.State.PeerReport(w.key(), report)
+		p.State.PeerReport(w.reportKey(), report)
 	case useTotal:
-		p.State.TotalReport(w.key(), report)
+		p.State.TotalReport(w.reportKey(), report)
 	case useNone:
 	}
 	if p.State.Settle(time.Duration(w.FollowedMs)*time.Millisecond, w.stamp()) {
-		events.ServersChanged.Log(context.Background(), p.Log, slog.LevelInfo, "from", w.Control, "followedMs", w.FollowedMs, "what", "doubtful ones forgotten")
+		events.ServersChanged.Log(context.Background(), p.Log, slog.LevelInfo, "from", w.ControlAddr, "followedMs", w.FollowedMs, "what", "doubtful servers removed")
 	}
-	if vouches && w.Era >= p.State.Era() && w.Version != 0 && w.Version == p.State.Version() && !w.stamp().After(p.State.Stamp()) {
-		p.confirm(p.age(w))
+	if trustedAge && w.ListEra >= p.State.Era() && w.ConfigVersion != 0 && w.ConfigVersion == p.State.Version() && !w.stamp().After(p.State.Stamp()) {
+		p.confirmViewAge(p.viewAge(w))
 	}
 }
 
-// takeChanges takes what a heartbeat tells of changes of the list of servers. Changes that don't
-// follow on this router's list are left: what lies between is fetched.
-func (p *Peers) takeChanges(w heartbeat) {
+// applyChanges applies the changes of the server list in a heartbeat. Changes that do not follow
+// directly on this router's list are ignored; what lies between is fetched.
+func (p *Peers) applyChanges(w heartbeat) {
 	if len(w.Changes) == 0 {
 		return
 	}
 	var c listChange
-	if err := cbor.Unmarshal(w.Changes, &c); err != nil || c.Whole {
-		events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelWarn, "peer", w.Control, "what", "changes", "err", err)
+	if err := cbor.Unmarshal(w.Changes, &c); err != nil || c.Full {
+		events.PeerMalformed.Log(context.Background(), p.Log, slog.LevelWarn, "peer", w.ControlAddr, "what", "changes", "err", err)
 		return
 	}
 	if p.State.ServersChangedBy(c.delta()) {
-		p.logList(w.Control, c)
+		p.logListChange(w.ControlAddr, c)
 	}
 }
 
-// logList notes that another router's list, or changes, were taken.
-func (p *Peers) logList(from string, c listChange) {
-	events.ServersChanged.Log(context.Background(), p.Log, slog.LevelInfo, "from", from, "whole", c.Whole, "servers", len(c.Servers.Servers),
-		"gone", len(c.Gone), "held", len(c.Held), "doubtful", len(c.Left), "era", c.As.Era, "ver", c.As.Version, "edits", c.As.Edits)
+// logListChange logs that the server list, or changes of it, were applied.
+func (p *Peers) logListChange(from string, c listChange) {
+	events.ServersChanged.Log(context.Background(), p.Log, slog.LevelInfo, "from", from, "whole", c.Full, "servers", len(c.Servers.Servers),
+		"gone", len(c.Removed), "held", len(c.HeldMs), "doubtful", len(c.DoubtfulLeftMs), "era", c.To.Era, "ver", c.To.Version, "edits", c.To.Edits)
 }
 
-// takeRouters takes what a heartbeat tells of other routers; the lock is held.
-func (p *Peers) takeRouters(w heartbeat, now time.Time) {
-	if w.Protocol < protocol {
-		p.older = now
+// applyRouters applies what a heartbeat says about other routers. The caller must hold p.mu.
+func (p *Peers) applyRouters(w heartbeat, now time.Time) {
+	if w.Protocol < protocolVersion {
+		p.olderReleaseHeard = now
 	}
 	for _, k := range w.Known {
 		p.spread.Observe(k.member(), k.age(), now)
 	}
-	if !p.leads(w) {
+	if !p.isListLeader(w) {
 		return
 	}
 	if w.Kind == kindTotal {
-		p.spread.SetFleetSize(w.Fleet)
+		p.spread.SetFleetSize(w.FleetSize)
 	}
-	p.spread.ApplyChanges(spread.Changes{Joined: membersOf(w.Joined), Left: membersOf(w.Left)}, now)
-	p.members.compare(w.Control, w.Digests, p.spread.Digests(), p.spread.CompareDigests(w.Digests, now), now)
+	p.spread.ApplyChanges(spread.Changes{Joined: toMembers(w.Joined), Left: toMembers(w.Left)}, now)
+	p.members.recordMismatches(w.ControlAddr, w.Digests, p.spread.Digests(), p.spread.CompareDigests(w.Digests, now), now)
 }
 
-// leads reports whether the heartbeat's sender is the one whose lists of routers this router
-// follows: the first of its data centre's reporters that it hears, or for a reporter the first one
-// of the other data centre. The lock is held.
-func (p *Peers) leads(w heartbeat) bool {
+// isListLeader reports whether this router takes its lists of routers from the sender of the
+// heartbeat. That is the first reporter of its data centre that it hears, or for a reporter the
+// first reporter of each other data centre. The caller must hold p.mu.
+func (p *Peers) isListLeader(w heartbeat) bool {
 	if p.spread.IsMesh() || len(w.Digests) == 0 {
 		return false
 	}
-	reporter := p.spread.IsReporter()
+	isReporter := p.spread.IsReporter()
 	switch {
-	case w.Kind == kindTotal && (reporter || w.DataCentre != p.Self.DataCentre):
+	case w.Kind == kindTotal && (isReporter || w.DataCentre != p.Self.DataCentre):
 		return false
-	case w.Kind == kindSum && (!reporter || w.DataCentre == p.Self.DataCentre):
+	case w.Kind == kindSum && (!isReporter || w.DataCentre == p.Self.DataCentre):
 		return false
 	case w.Kind != kindTotal && w.Kind != kindSum:
 		return false
 	}
-	leaders := p.spread.Reporters(w.DataCentre)
-	return len(leaders) > 0 && leaders[0] == w.Control
+	reporters := p.spread.Reporters(w.DataCentre)
+	return len(reporters) > 0 && reporters[0] == w.ControlAddr
 }
 
-// owesAnswer reports whether the sender expects to hear of this router, which would not tell it by
-// itself; the lock is held.
-func (p *Peers) owesAnswer(w heartbeat, now time.Time) bool {
-	if w.Kind != kindOwn || w.Answer || p.spread.IsMesh() || w.Protocol < protocol {
+// shouldAnswer reports whether the sender expects a heartbeat of this router, which sends it none
+// otherwise. The caller must hold p.mu.
+func (p *Peers) shouldAnswer(w heartbeat, now time.Time) bool {
+	if w.Kind != kindOwn || w.Answer || p.spread.IsMesh() || w.Protocol < protocolVersion {
 		return false
 	}
-	near := w.DataCentre == p.Self.DataCentre
-	if near && (p.spread.IsReporter() || contains(p.spread.Reporters(w.DataCentre), w.Control)) {
+	isLocal := w.DataCentre == p.Self.DataCentre
+	if isLocal && (p.spread.IsReporter() || contains(p.spread.Reporters(w.DataCentre), w.ControlAddr)) {
 		return false
 	}
-	q := p.views[w.Control]
-	if q == nil || now.Sub(q.answered) < answerEvery {
+	q := p.views[w.ControlAddr]
+	if q == nil || now.Sub(q.lastAnswered) < answerInterval {
 		return false
 	}
-	q.answered = now
+	q.lastAnswered = now
 	return true
 }
 
-// answer tells a router of this one, and of routers that give their views.
-func (p *Peers) answer(to string, sources []string) {
+// sendAnswer sends a heartbeat of this router, with the routers that serve their views.
+func (p *Peers) sendAnswer(addr string, sources []string) {
 	p.mu.Lock()
-	heads := p.heads(p.Now())
-	count := p.spread.FleetSize()
+	topRanked := p.topRanked(p.Now())
+	fleetSize := p.spread.FleetSize()
 	p.mu.Unlock()
-	w := p.heartbeat(kindOwn, state.NewReport(), heads)
+	w := p.newHeartbeat(kindOwn, state.NewReport(), topRanked)
 	w.Answer = true
-	w.Fleet = count
+	w.FleetSize = fleetSize
 	w.Sources = sources
-	p.send([]string{to}, w)
+	p.send([]string{addr}, w)
 }
 
-// takeEra takes the store's era of another router's list of servers.
-func (p *Peers) takeEra(from string, era uint64) {
-	before, returned := p.State.TakeEra(era)
-	if !returned {
+// applyEra applies the store era of another router's server list.
+func (p *Peers) applyEra(from string, era uint64) {
+	before, restored := p.State.TakeEra(era)
+	if !restored {
 		return
 	}
 	events.StoreReturned.Log(context.Background(), p.Log, slog.LevelWarn, "from", from, "before", before, "era", era,
 		"config", p.State.Version(), "servers", p.State.ServerCount())
 }
 
-// takeUpdates takes what is told once, and keeps it if this router tells it on.
-func (p *Peers) takeUpdates(w heartbeat, r state.Report) {
+// applyUpdates applies the state that is sent only once, and keeps it if this router relays it.
+func (p *Peers) applyUpdates(w heartbeat, r state.Report) {
 	if len(r.Sent) > 0 {
 		p.State.HeardSent(r.Sent)
 	}
 	if len(r.Firsts) > 0 {
 		p.State.HeardFirsts(r.Firsts)
 	}
-	if w.Era < p.State.Era() {
-		poison.Unstored(r.Crashes) // the store may have lost them since
+	if w.ListEra < p.State.Era() {
+		poison.Unstored(r.Crashes) // the store may have lost them when it was restored
 	}
-	p.takeCrashes(w.Control, r.Crashes)
-	if len(w.Evidence)+len(w.EvidenceFar) > 0 {
+	p.applyCrashes(w.ControlAddr, r.Crashes)
+	if len(w.Evidence)+len(w.RemoteEvidence) > 0 {
 		p.State.HeardEvidence(r.Evidence)
-		p.State.HeardEvidence(evidenceOf(w.EvidenceFar))
+		p.State.HeardEvidence(evidenceFromWire(w.RemoteEvidence))
 	}
 	if w.Kind == kindSum || w.DataCentre == p.Self.DataCentre {
-		p.keepPending(w.Kind, updatesOf(r))
+		p.addPending(w.Kind, updatesOf(r))
 	}
 }
 
-// confirm takes an answer of the store of some age. One that is hardly younger than
-// what is known is the same one, told on.
-func (p *Peers) confirm(age time.Duration) {
-	if _, known := p.State.Table(); known-age > sameReport {
+// confirmViewAge applies the age of a store answer. An age that is hardly younger than the known
+// one belongs to the same answer, relayed by another router.
+func (p *Peers) confirmViewAge(age time.Duration) {
+	if _, knownAge := p.State.Table(); knownAge-age > sameAnswerTolerance {
 		p.State.Confirm(age)
 	}
 }
 
-// vouches reports whether the report's age of the store may be taken over: that of
-// a router which follows the store itself, or of a reporter by one that it tells.
-// Were it that of any router, ages would go round, and each way makes them
-// younger by its delay. The lock is held.
-func (p *Peers) vouches(w heartbeat) bool {
+// hasTrustedAge reports whether the age of the store answer in a heartbeat may be applied. Only a
+// router that follows the store itself is trusted, or a reporter by the routers it reports to. If
+// ages from any router were applied, they would circulate, and each hop would make them younger by
+// its delay. The caller must hold p.mu.
+func (p *Peers) hasTrustedAge(w heartbeat) bool {
 	if w.FollowedMs > 0 {
 		return true
 	}
-	told := w.Kind == kindTotal || w.Kind == kindUpdate && w.DataCentre == p.Self.DataCentre
-	return told && !p.spread.IsReporter()
+	relayed := w.Kind == kindTotal || w.Kind == kindUpdate && w.DataCentre == p.Self.DataCentre
+	return relayed && !p.spread.IsReporter()
 }
 
-// view notes what the peer says of its view, and whether this router's list is as new; the lock is
-// held.
-func (p *Peers) view(w heartbeat, version int64, listed bool, now time.Time) {
-	q := p.views[w.Control]
+// recordView records a peer's view, and whether this router's server list is at least as new. The
+// caller must hold p.mu.
+func (p *Peers) recordView(w heartbeat, version int64, listCurrent bool, now time.Time) {
+	q := p.views[w.ControlAddr]
 	if q == nil {
-		q = &peer{}
-		p.views[w.Control] = q
+		q = &peerView{}
+		p.views[w.ControlAddr] = q
 	}
 	q.dataCentre = w.DataCentre
-	q.version = w.Version
-	q.stamp = w.stamp()
-	q.heard = now
-	q.asOf = now.Add(-p.age(w))
-	if w.Version > version && q.newer.IsZero() {
-		q.newer = now
+	q.configVersion = w.ConfigVersion
+	q.listStamp = w.stamp()
+	q.lastHeard = now
+	q.storeReadAt = now.Add(-p.viewAge(w))
+	if w.ConfigVersion > version && q.configNewerSince.IsZero() {
+		q.configNewerSince = now
 	}
 	switch {
-	case listed:
-		q.ahead = time.Time{}
-	case q.ahead.IsZero():
-		q.ahead = now
+	case listCurrent:
+		q.listNewerSince = time.Time{}
+	case q.listNewerSince.IsZero():
+		q.listNewerSince = now
 	}
 }
 
-// age is how old the store's answer is on which the view of w rests. The datagram
-// may have waited here until this host had time for it.
-func (p *Peers) age(w heartbeat) time.Duration {
-	return time.Duration(w.AgeMs)*time.Millisecond + p.Wait()
+// viewAge returns the age of the store answer that the sender's view is based on. It includes the
+// time for which the datagram may have waited for a processor of this host.
+func (p *Peers) viewAge(w heartbeat) time.Duration {
+	return time.Duration(w.ViewAgeMs)*time.Millisecond + p.ProcessorWait()
 }
 
-// How a report counts.
-type usage int
+// loadUsage tells how the load in a report is counted.
+type loadUsage int
 
 const (
-	useNone  usage = iota
-	useOther       // load of other routers
-	useTotal       // load of all routers, this one included
+	useNone  loadUsage = iota
+	useOther           // as load of other routers
+	useTotal           // as load of all routers, including this one
 )
 
-// use says how a report counts, so that no load counts twice; the lock is held.
-func (p *Peers) use(w heartbeat) usage {
+// usageOf returns how a report is counted, so that no load counts twice. The caller must hold p.mu.
+func (p *Peers) usageOf(w heartbeat) loadUsage {
 	if w.Answer {
 		return useNone
 	}
-	mesh := p.spread.IsMesh()
-	reporter := p.spread.IsReporter()
+	isMesh := p.spread.IsMesh()
+	isReporter := p.spread.IsReporter()
 	switch w.Kind {
 	case kindOwn:
-		if mesh || reporter && w.DataCentre == p.Self.DataCentre {
+		if isMesh || isReporter && w.DataCentre == p.Self.DataCentre {
 			return useOther
 		}
 	case kindSum:
-		if !mesh && reporter && w.DataCentre != p.Self.DataCentre {
+		if !isMesh && isReporter && w.DataCentre != p.Self.DataCentre {
 			return useOther
 		}
 	case kindTotal:
-		if !mesh && !reporter {
+		if !isMesh && !isReporter {
 			return useTotal
 		}
-	case kindUpdate, kinds:
+	case kindUpdate, kindCount:
 	}
 	return useNone
 }
--- a/internal/edge/peers/rollouts.go
+++ b/internal/edge/peers/rollouts.go
@@ -8,13 +8,13 @@
 	"github.com/windscale/windscale/internal/edge/state"
 )
 
-// wireRollout is a roll-out as a heartbeat tells it.
+// wireRollout is a roll-out in a heartbeat.
 type wireRollout struct {
 	_          struct{} `cbor:",toarray"`
 	Service    string
 	To         string
 	DurationMs int64
-	Era        uint64 // of the store, at which the order was written
+	Era        uint64 // of the store when the order was written
 	Version    uint64
 	Phase      rollout.Phase
 	BeganMs    int64 // by the store's clock
@@ -22,22 +22,21 @@
 	AgeMs      int64 // since it was last confirmed
 }
 
-// whyMost bounds what a heartbeat tells of a reason, in bytes.
-const whyMost = 120
+// maxWhyLength is the maximum length of a reason in a heartbeat, in bytes.
+const maxWhyLength = 120
 
-// wireRollouts renders roll-outs.
-func wireRollouts(told []rollout.Told) (list []wireRollout) {
-	for _, t := range told {
+func rolloutsToWire(rollouts []rollout.Told) (list []wireRollout) {
+	for _, t := range rollouts {
 		o := t.Order
 		list = append(list, wireRollout{
 			Service: o.Service, To: o.To, DurationMs: o.Duration.Milliseconds(), Era: o.As.Era, Version: o.As.Version,
-			Phase: t.Phase, BeganMs: t.Began.Milliseconds(), Why: t.Why[:min(len(t.Why), whyMost)], AgeMs: t.Age.Milliseconds(),
+			Phase: t.Phase, BeganMs: t.Began.Milliseconds(), Why: t.Why[:min(len(t.Why), maxWhyLength)], AgeMs: t.Age.Milliseconds(),
 		})
 	}
 	return list
 }
 
-// record returns the roll-out.
+// record decodes the roll-out.
 func (w wireRollout) record() rollout.Record {
 	return rollout.Record{
 		Order: rollout.Order{
@@ -50,9 +49,9 @@
 	}
 }
 
-// takeRollouts takes what another router tells of roll-outs. What it tells may have waited here for
-// so long.
-func (p *Peers) takeRollouts(from string, list []wireRollout, waited time.Duration) {
+// applyRollouts applies another router's roll-outs, which have waited on this host for the given
+// time.
+func (p *Peers) applyRollouts(from string, list []wireRollout, waited time.Duration) {
 	for _, w := range list {
 		r := w.record()
 		if r.Order.Check() != nil {
@@ -64,7 +63,8 @@
 	}
 }
 
-// wireSample is evidence on one route on its way: the classes that have answers, and how many.
+// wireSample is the encoded evidence on a route. It contains only the latency classes that have
+// answers, with their counts.
 type wireSample struct {
 	_        struct{} `cbor:",toarray"`
 	Service  string
@@ -77,8 +77,7 @@
 	Pace     map[uint8]uint32
 }
 
-// wireEvidence renders evidence.
-func wireEvidence(e rollout.Evidence) (list []wireSample) {
+func evidenceToWire(e rollout.Evidence) (list []wireSample) {
 	for key, s := range e {
 		list = append(list, wireSample{
 			Service: key.Service, To: key.To, Route: key.Route, New: key.New,
@@ -88,8 +87,7 @@
 	return list
 }
 
-// evidenceOf is the other way.
-func evidenceOf(list []wireSample) rollout.Evidence {
+func evidenceFromWire(list []wireSample) rollout.Evidence {
 	e := rollout.Evidence{}
 	for _, w := range list {
 		key := rollout.Key{Service: w.Service, To: w.To, Route: w.Route, New: w.New}
--- a/internal/edge/peers/rollouts_test.go
+++ b/internal/edge/peers/rollouts_test.go
@@ -13,8 +13,8 @@
 	"github.com/windscale/windscale/internal/edge/state"
 )
 
-// canary is a roll-out of which a part of the requests goes to the new version.
-func canary(p rollout.Phase) rollout.Record {
+// rolloutInPhase returns a roll-out in the given phase.
+func rolloutInPhase(p rollout.Phase) rollout.Record {
 	return rollout.Record{
 		Order: rollout.Order{Service: "llm", To: "v2", Duration: 30 * time.Second, As: roster.Stamp{Era: 1, Version: 7}},
 		Phase: p,
@@ -22,68 +22,68 @@
 	}
 }
 
-// A router that does not follow the store has a phase from the next heartbeat of one that does, and
-// takes it for as old as it is; one that starts has it in its first view.
-func TestRolloutsComeWithHeartbeatsAndFirstViews(t *testing.T) {
+// A router that does not follow the store learns a phase, and how long ago it was confirmed, from
+// the next heartbeat of a router that does. A router that joins learns it from its first view.
+func TestRolloutsInHeartbeatsAndFirstViews(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
-	a, b := lone(t, clock, noWait), lone(t, clock, noWait)
+	a, b := isolatedPeers(t, clock, noWait), isolatedPeers(t, clock, noWait)
 	a.Self.Addr = "127.0.0.40:1"
-	tell := func() {
-		text, err := cbor.Marshal(a.heartbeat(kindOwn, state.NewReport(), nil))
+	sendHeartbeat := func() {
+		data, err := cbor.Marshal(a.newHeartbeat(kindOwn, state.NewReport(), nil))
 		assert.NilError(t, err)
-		b.Take(text)
+		b.HandleDatagram(data)
 	}
-	a.State.TakeRollout(canary(rollout.Canary), 0)
+	a.State.TakeRollout(rolloutInPhase(rollout.Canary), 0)
 	now = now.Add(time.Second)
-	tell()
+	sendHeartbeat()
 	got, ok := b.State.Rollout("llm")
 	assert.Assert(t, ok)
-	assert.Equal(t, got, canary(rollout.Canary))
+	assert.Equal(t, got, rolloutInPhase(rollout.Canary))
 	assert.Equal(t, b.State.Rollouts()[0].Age, time.Second)
-	a.State.TakeRollout(canary(rollout.Halted), 0)
-	tell()
+	a.State.TakeRollout(rolloutInPhase(rollout.Halted), 0)
+	sendHeartbeat()
 	got, _ = b.State.Rollout("llm")
 	assert.Equal(t, got.Phase, rollout.Halted)
 
 	assert.Assert(t, a.State.TakeConfig(&routing.Config{Version: 5}, []byte(`{"version":5}`)))
 	a.State.ServersReplaced(nil, roster.Stamp{Version: 50}, false)
 	a.State.Confirm(0)
-	text, err := a.ownView()
+	data, err := a.encodeView()
 	assert.NilError(t, err)
-	fresh := lone(t, clock, noWait)
-	assert.NilError(t, fresh.takeView(text, 10*time.Millisecond))
+	fresh := isolatedPeers(t, clock, noWait)
+	assert.NilError(t, fresh.applyView(data, 10*time.Millisecond))
 	got, _ = fresh.State.Rollout("llm")
 	assert.Equal(t, got.Phase, rollout.Halted)
 }
 
-// What one router's requests have shown reaches both reporters of each data centre once.
+// Evidence from the requests of one router reaches both reporters of each data centre once.
 func TestEvidenceReachesEachReporterOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	key := rollout.Key{Service: "llm", To: "v2", Route: "r", New: true}
-	seen := wireEvidence(rollout.Evidence{key: {Answers: 3, Failures: 1, First: rollout.Counts{4: 2}}})
-	p := reporter(t, now, 9)
-	p.State.TakeRollout(canary(rollout.Canary), 0)
-	p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Protocol: protocol, Evidence: seen}, now)
-	p.take(heartbeat{Control: "127.0.0.61:1", DataCentre: "far", Kind: kindSum, Protocol: protocol, Evidence: seen}, now)
-	p.take(heartbeat{Control: "127.0.0.62:1", DataCentre: "dc", Kind: kindOwn, Protocol: protocol, EvidenceFar: seen}, now)
-	assert.Equal(t, p.State.RolloutInput(canary(rollout.Canary)).Total[key].Answers, uint32(9))
-	out, _ := p.takePending(updates{}, true, true)
-	assert.Equal(t, out.evidence[key].Answers, uint32(3), "its own data centre's")
-	assert.Equal(t, p.takeFellow()[key].First[4], uint32(2), "what came from another")
-	out, _ = p.takePending(updates{}, true, true)
-	assert.Equal(t, len(out.evidence)+len(p.takeFellow()), 0, "it was told")
+	seen := evidenceToWire(rollout.Evidence{key: {Answers: 3, Failures: 1, First: rollout.Counts{4: 2}}})
+	p := newReporter(t, now, 9)
+	p.State.TakeRollout(rolloutInPhase(rollout.Canary), 0)
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.60:1", DataCentre: "dc", Kind: kindOwn, Protocol: protocolVersion, Evidence: seen}, now)
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.61:1", DataCentre: "far", Kind: kindSum, Protocol: protocolVersion, Evidence: seen}, now)
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.62:1", DataCentre: "dc", Kind: kindOwn, Protocol: protocolVersion, RemoteEvidence: seen}, now)
+	assert.Equal(t, p.State.RolloutInput(rolloutInPhase(rollout.Canary)).Total[key].Answers, uint32(9))
+	remote, _ := p.takePending(updates{}, true, true)
+	assert.Equal(t, remote.evidence[key].Answers, uint32(3), "evidence of its own data centre")
+	assert.Equal(t, p.takeOtherReporterEvidence()[key].First[4], uint32(2), "evidence of another data centre")
+	remote, _ = p.takePending(updates{}, true, true)
+	assert.Equal(t, len(remote.evidence)+len(p.takeOtherReporterEvidence()), 0, "sent before")
 }
 
-// A roll-out that makes no sense is left out.
-func TestMalformedRolloutsAreLeftOut(t *testing.T) {
+// Invalid roll-outs are ignored.
+func TestMalformedRolloutsAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := lone(t, func() time.Time { return now }, noWait)
-	p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Protocol: protocol, Rollouts: []wireRollout{
+	p := isolatedPeers(t, func() time.Time { return now }, noWait)
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.60:1", DataCentre: "dc", Protocol: protocolVersion, Rollouts: []wireRollout{
 		{Service: "", To: "v2", DurationMs: 1}, {Service: "llm", DurationMs: 1}, {Service: "llm", To: "v2", DurationMs: -1},
 	}}, now)
 	assert.Equal(t, len(p.State.Rollouts()), 0)
-	p.take(heartbeat{Control: "127.0.0.60:1", DataCentre: "dc", Protocol: protocol, Rollouts: []wireRollout{
+	p.handleHeartbeat(heartbeat{ControlAddr: "127.0.0.60:1", DataCentre: "dc", Protocol: protocolVersion, Rollouts: []wireRollout{
 		{Service: "llm", To: "v2", DurationMs: 1, Phase: 99},
 	}}, now)
 	got, _ := p.State.Rollout("llm")
--- a/internal/edge/peers/scale_test.go
+++ b/internal/edge/peers/scale_test.go
@@ -12,43 +12,43 @@
 	"github.com/windscale/windscale/internal/core/routing"
 )
 
-// BenchmarkHeartbeat is what a router pays for one report of the fleet's total, and for
-// one of its own, at several sizes.
+// BenchmarkHeartbeat measures the cost of receiving a report of the total load (taken) and of
+// sending an own report (told), for several fleet sizes.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, servers := range []int{90, 600, 3000} {
-		p := lone(b, time.Now, noWait)
+		p := isolatedPeers(b, time.Now, noWait)
 		var list []routing.Server
 		for i := range servers {
 			list = append(list, routing.Server{ID: fmt.Sprintf("i-%010x", i), Service: "llm", Slots: 32, State: routing.ServerReady})
 		}
 		p.State.TakeConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 32, CacheTokens: 300000}}}}, nil)
 		p.State.ServersReplaced(list, roster.Stamp{Version: 1}, true)
-		w := heartbeat{Control: "10.0.0.1:1", DataCentre: "dc", Kind: kindTotal, Version: 1, List: 1, Loads: map[routing.ServerKey][3]int64{}, Rates: map[string][2]int64{}}
+		w := heartbeat{ControlAddr: "10.0.0.1:1", DataCentre: "dc", Kind: kindTotal, ConfigVersion: 1, ListVersion: 1, Loads: map[routing.ServerKey][3]int64{}, Rates: map[string][2]int64{}}
 		for i := range min(servers, 200) {
 			w.Loads[routing.Identity{ID: list[i].ID}.Key()] = [3]int64{5000, 9000, 3}
 		}
 		for i := range 30 {
 			w.Rates[fmt.Sprintf("cust%03d", i)] = [2]int64{10000, 9000}
 		}
-		text, err := cbor.Marshal(w)
+		data, err := cbor.Marshal(w)
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.Run(fmt.Sprintf("taken/servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
-			b.ReportMetric(float64(len(text)), "bytes")
+			b.ReportMetric(float64(len(data)), "bytes")
 			for b.Loop() {
 				var w heartbeat
-				if err := cbor.Unmarshal(text, &w); err != nil {
+				if err := cbor.Unmarshal(data, &w); err != nil {
 					b.Fatal(err)
 				}
-				p.take(w, time.Now())
+				p.handleHeartbeat(w, time.Now())
 			}
 		})
 		b.Run(fmt.Sprintf("told/servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := cbor.Marshal(p.heartbeat(kindOwn, p.State.Report(), nil)); err != nil {
+				if _, err := cbor.Marshal(p.newHeartbeat(kindOwn, p.State.Report(), nil)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkMemory is what a router holds of each server and of each other router.
+// BenchmarkMemory measures the memory that a router uses per server and per other router.
 func BenchmarkMemory(b *testing.B) {
 	const servers, routers = 10_000, 985
 	heap := func() float64 {
@@ -67,12 +67,12 @@
 	}
 	for b.Loop() {
 		empty := heap()
-		p := lone(b, time.Now, noWait)
+		p := isolatedPeers(b, time.Now, noWait)
 		p.State.TakeConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 64, CacheTokens: 300000}}}}, nil)
-		p.State.ServersReplaced(fleetOf(servers), roster.Stamp{Version: 1}, true)
+		p.State.ServersReplaced(makeServers(servers), roster.Stamp{Version: 1}, true)
 		withServers := heap()
 		for i := range routers {
-			p.take(heartbeat{Control: fmt.Sprintf("10.%d.%d.%d:8785", i%5, i/250, i%250), DataCentre: "dc", Kind: kindOwn, Version: 1, List: 1}, time.Now())
+			p.handleHeartbeat(heartbeat{ControlAddr: fmt.Sprintf("10.%d.%d.%d:8785", i%5, i/250, i%250), DataCentre: "dc", Kind: kindOwn, ConfigVersion: 1, ListVersion: 1}, time.Now())
 		}
 		withRouters := heap()
 		b.ReportMetric((withServers-empty)/servers, "B/server")
@@ -81,8 +81,8 @@
 	}
 }
 
-// fleetOf returns n servers, as the platform lists them.
-func fleetOf(n int) []routing.Server {
+// makeServers returns n servers as the platform lists them.
+func makeServers(n int) []routing.Server {
 	list := make([]routing.Server, n)
 	for i := range list {
 		list[i] = routing.Server{
--- a/internal/edge/peers/stats.go
+++ b/internal/edge/peers/stats.go
@@ -9,18 +9,18 @@
 	"github.com/windscale/windscale/internal/events"
 )
 
-// part is a part of a heartbeat that is bounded.
+// part is a part of a heartbeat with a limited number of entries.
 type part int
 
 const (
 	partLoads part = iota
 	partRates
-	partParts
+	partSentParts
 	partChanges
-	parts
+	partCount
 )
 
-// String returns the part's name, for metrics.
+// String returns the name of the part for metrics.
 func (p part) String() string {
 	return [...]string{"loads", "rates", "parts of prompts", "changes of servers"}[p]
 }
@@ -33,16 +33,16 @@
 	t.Bytes.Add(int64(bytes))
 }
 
-// Stats counts what a router tells others and gives them. It is safe for concurrent use.
+// Stats counts the messages that a router sends, serves and fetches. It is safe for concurrent use.
 type Stats struct {
-	sent    [kinds]Traffic
-	given   Traffic // views, lists and configurations
-	fetched Traffic
-	leftOut [parts]atomic.Int64
+	sent      [kindCount]Traffic
+	served    Traffic // views, lists and configurations
+	fetched   Traffic
+	truncated [partCount]atomic.Int64
 }
 
-// leaveOut counts what found no room in a heartbeat.
-func (s *Stats) leaveOut(p part, n int) { s.leftOut[p].Add(int64(n)) }
+// countTruncated counts entries that were left out of a heartbeat.
+func (s *Stats) countTruncated(p part, n int) { s.truncated[p].Add(int64(n)) }
 
 // EachSent calls f for each kind of heartbeat.
 func (s *Stats) EachSent(f func(kind string, t *Traffic)) {
@@ -51,38 +51,40 @@
 	}
 }
 
-// EachPart calls f for each part of a heartbeat that is bounded, with how much of it was left out.
-func (s *Stats) EachPart(f func(part string, left func() int64)) {
-	for p := range s.leftOut {
-		f(part(p).String(), s.leftOut[p].Load)
+// EachTruncated calls f for each part with a limited number of entries. count returns the number of
+// entries that were left out so far.
+func (s *Stats) EachTruncated(f func(part string, count func() int64)) {
+	for p := range s.truncated {
+		f(part(p).String(), s.truncated[p].Load)
 	}
 }
 
-// Given returns what was given to other routers that fetched it, and Fetched what this one
-// fetched.
-func (s *Stats) Given() *Traffic   { return &s.given }
+// Served returns the traffic of fetches by other routers, Fetched that of this router's own
+// fetches.
+func (s *Stats) Served() *Traffic  { return &s.served }
 func (s *Stats) Fetched() *Traffic { return &s.fetched }
 
-// cutEvery is the least time between two lines that say what was left out of heartbeats.
-const cutEvery = 10 * time.Second
+// truncationLogInterval is the minimum time between two log lines on entries left out of
+// heartbeats.
+const truncationLogInterval = 10 * time.Second
 
-// cutLog writes these lines.
-type cutLog struct {
-	at   time.Time
-	told [parts]int64
+// truncationLog tracks which of these entries were logged.
+type truncationLog struct {
+	lastLogged time.Time
+	logged     [partCount]int64
 }
 
-// logCut tells what was left out since the last time.
-func (p *Peers) logCut(now time.Time) {
-	if now.Sub(p.cut.at) < cutEvery {
+// logTruncations logs the entries that were left out since the previous time.
+func (p *Peers) logTruncations(now time.Time) {
+	if now.Sub(p.truncations.lastLogged) < truncationLogInterval {
 		return
 	}
-	p.cut.at = now
-	for i := range p.cut.told {
-		n := p.Stats.leftOut[i].Load()
-		if n > p.cut.told[i] {
-			events.HeartbeatCut.Log(context.Background(), p.Log, slog.LevelWarn, "part", part(i).String(), "entries", n-p.cut.told[i])
-			p.cut.told[i] = n
+	p.truncations.lastLogged = now
+	for i := range p.truncations.logged {
+		n := p.Stats.truncated[i].Load()
+		if n > p.truncations.logged[i] {
+			events.HeartbeatCut.Log(context.Background(), p.Log, slog.LevelWarn, "part", part(i).String(), "entries", n-p.truncations.logged[i])
+			p.truncations.logged[i] = n
 		}
 	}
 }
--- a/internal/emulator/controlplane/host.go
+++ b/internal/emulator/controlplane/host.go
@@ -63,7 +63,7 @@
 	h.state = state.NewSeeded(h.centre, retryRatio, retrySlack, s.time, seed)
 	h.state.SetSelf(h.addr)
 	self := spread.Member{Addr: h.addr, DataCentre: h.centre, Cores: float32(h.cores)}
-	h.peers = peers.NewOn(h, h.state, s.log, self, func([]byte) (*routing.Config, error) { return s.config, nil }, seed, s.time)
+	h.peers = peers.NewOnNetwork(h, h.state, s.log, self, func([]byte) (*routing.Config, error) { return s.config, nil }, seed, s.time)
 	h.peers.Add(true, s.seeds()...)
 	h.peers.Join(s.seeds(), firstStart)
 	h.work(costProcess)
@@ -162,7 +162,7 @@
 		h.spent.in++
 		h.spent.inB += int64(len(text))
 		h.heard = h.sim.now
-		h.peers.Take(text)
+		h.peers.HandleDatagram(text)
 	})
 }
 
@@ -189,7 +189,7 @@
 // answer answers a fetch of another host.
 func (h *host) answer(to *host, life int, path string, done func([]byte, error)) {
 	s := h.sim
-	text, err := h.peers.Give(path)
+	text, err := h.peers.Respond(path)
 	kb := float64(len(text)) / 1024
 	h.work(costFetch + time.Duration(kb*float64(costGivenKB)))
 	h.spent.outB += int64(len(text))
@@ -301,7 +301,7 @@
 func (h *host) joining() bool {
 	if !h.joined {
 		select {
-		case <-h.peers.Sought():
+		case <-h.peers.JoinDone():
 			h.joined = true
 		default:
 		}
--- a/internal/emulator/controlplane/report.go
+++ b/internal/emulator/controlplane/report.go
@@ -60,7 +60,7 @@
 	switch {
 	case h.peers.IsReader():
 		return Reader
-	case h.peers.Registers():
+	case h.peers.ShouldRegister():
 		return Reporter
 	}
 	return Plain
@@ -69,7 +69,7 @@
 // finish works out the steady load.
 func (s *sim) finish() {
 	for _, h := range s.hosts {
-		h.peers.Stats.EachPart(func(part string, left func() int64) { s.result.Left[part] += left() })
+		h.peers.Stats.EachTruncated(func(part string, left func() int64) { s.result.Left[part] += left() })
 	}
 	if s.watch == nil || s.now <= s.watch.from {
 		return
