--- a/internal/edge/edgetest/edgetest.go
+++ b/internal/edge/edgetest/edgetest.go
@@ -1,4 +1,4 @@
-// Package edgetest has what the tests of the packages beside it share.
+// Package edgetest provides helpers shared by the tests of the edge packages.
 package edgetest
 
 import (
@@ -11,38 +11,38 @@
 )
 
 const (
-	untilEvery = 2 * time.Millisecond
-	// untilMost is far above what any condition takes; a test that reaches it fails.
-	untilMost = 30 * time.Second
+	pollInterval = 2 * time.Millisecond
+	// pollTimeout is far longer than any condition takes.
+	pollTimeout = 30 * time.Second
 )
 
-// Until waits for a condition.
-func Until(t testing.TB, what string, ok func() bool) {
+// Until waits until cond holds. The test fails with what was awaited if that takes too long.
+func Until(t testing.TB, what string, cond func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if ok() {
+		if cond() {
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithDelay(untilEvery), poll.WithTimeout(untilMost))
+	}, poll.WithDelay(pollInterval), poll.WithTimeout(pollTimeout))
 }
 
-// Lines collects a log. It is safe for concurrent use.
-type Lines struct {
+// LogBuffer collects log output. It is safe for concurrent use.
+type LogBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *Lines) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
+func (b *LogBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-// String returns what was written.
-func (l *Lines) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
+// String returns what was written so far.
+func (b *LogBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
 }
--- a/internal/edge/follow/follow_test.go
+++ b/internal/edge/follow/follow_test.go
@@ -26,7 +26,7 @@
 	store  *platformtest.Store
 	state  *state.State
 	role   follow.Role
-	log    *edgetest.Lines
+	log    *edgetest.LogBuffer
 	client *platform.Store
 }
 
@@ -38,7 +38,7 @@
 // startKnowing starts one that knows something already.
 func startKnowing(t *testing.T, role follow.Role, know func(*followed)) *followed {
 	t.Helper()
-	f := &followed{store: platformtest.NewStore(), state: state.New("dc", 0.2, 80, time.Now), role: role, log: &edgetest.Lines{}}
+	f := &followed{store: platformtest.NewStore(), state: state.New("dc", 0.2, 80, time.Now), role: role, log: &edgetest.LogBuffer{}}
 	f.store.SetEra(1) // before it is followed: a later one is that of a return
 	know(f)
 	server := httptest.NewServer(f.store)
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -34,7 +34,7 @@
 	state   *state.State
 	handler *front.Handler
 	server  *httptest.Server
-	log     *edgetest.Lines
+	log     *edgetest.LogBuffer
 	wait    atomic.Int64 // of the processor, ns
 	ids     int
 	config  int
@@ -42,7 +42,7 @@
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	r := &rig{t: t, log: &edgetest.Lines{}, state: state.New("dc", 0.2, 80, time.Now)}
+	r := &rig{t: t, log: &edgetest.LogBuffer{}, state: state.New("dc", 0.2, 80, time.Now)}
 	r.handler = front.New(front.Config{
 		State:   r.state,
 		Pool:    upstream.NewPool(time.Now),
--- a/internal/edge/node/evacuation_test.go
+++ b/internal/edge/node/evacuation_test.go
@@ -10,10 +10,10 @@
 	"github.com/windscale/windscale/internal/edge/edgetest"
 )
 
-// splitFleet is a fleet of engines of which every other one stands in the data centre west.
+// splitFleet returns a fleet in which every other server is in the data centre west.
 func splitFleet(t testing.TB, network int) *fleet {
 	f := newFleet(t, network)
-	f.prompts = 16
+	f.promptPrefixes = 16
 	for i, s := range f.servers {
 		if i%2 == 1 {
 			s.Centre = "west"
@@ -23,8 +23,8 @@
 	return f
 }
 
-// ran is how many requests the servers of a data centre have run.
-func (f *fleet) ran(dataCentre string) (n int) {
+// runCount returns how many requests the servers of a data centre have run.
+func (f *fleet) runCount(dataCentre string) (n int) {
 	for _, s := range f.servers {
 		if s.Centre == dataCentre {
 			n += len(s.Runs())
@@ -33,55 +33,56 @@
 	return n
 }
 
-// Soon after a data centre's evacuation nothing is sent to its servers, by routers that follow
-// the store and by one that starts meanwhile, until it is taken back.
-func TestAnEvacuatedDataCentreGetsNothing(t *testing.T) {
-	const soon = time.Second // the fleet's own aim; the platform's bound is 5 s
+// Soon after a data centre is evacuated its servers receive nothing, neither from routers that
+// follow the store nor from one that starts meanwhile, until the evacuation is cancelled.
+func TestEvacuatedDataCentreReceivesNothing(t *testing.T) {
+	const takesEffectWithin = time.Second // the fleet's own target; the platform's bound is 5 s
 	f := splitFleet(t, 47)
 	a := f.start("127.0.47.1")
 	b := f.start("127.0.47.2", a)
-	send := func(by ...*member) {
-		for _, m := range by {
+	send := func(members ...*member) {
+		for _, m := range members {
 			for range 30 {
 				assert.Equal(t, m.send("/s/x", "e", ""), http.StatusOK)
 			}
 		}
 	}
 	send(a, b)
-	assert.Assert(t, f.ran("west") > 0)
+	assert.Assert(t, f.runCount("west") > 0)
 	f.store.Evacuate("west")
-	time.Sleep(soon)
-	before := f.ran("west")
-	late := f.start("127.0.47.3", a, b)
-	send(a, b, late)
-	assert.Equal(t, f.ran("west"), before)
+	time.Sleep(takesEffectWithin)
+	before := f.runCount("west")
+	newcomer := f.start("127.0.47.3", a, b)
+	send(a, b, newcomer)
+	assert.Equal(t, f.runCount("west"), before)
 	f.store.TakeBack("west")
-	edgetest.Until(t, "it is served again", func() bool {
+	edgetest.Until(t, "the data centre receives requests again", func() bool {
 		send(a)
-		return f.ran("west") > before
+		return f.runCount("west") > before
 	})
 }
 
-// While all data centres are evacuated requests are refused at once.
-func TestNothingIsServedWhileAllIsEvacuated(t *testing.T) {
+// While all data centres are evacuated, requests are refused without delay.
+func TestRequestsAreRefusedWhileAllDataCentresAreEvacuated(t *testing.T) {
 	f := splitFleet(t, 48)
 	a := f.start("127.0.48.1")
 	f.store.Evacuate("dc")
 	f.store.Evacuate("west")
-	edgetest.Until(t, "all is evacuated", func() bool { return a.send("/s/x", "e", "") == http.StatusServiceUnavailable })
-	before := f.ran("dc") + f.ran("west")
+	edgetest.Until(t, "all data centres are evacuated", func() bool { return a.send("/s/x", "e", "") == http.StatusServiceUnavailable })
+	before := f.runCount("dc") + f.runCount("west")
 	for range 10 {
-		began := time.Now()
+		start := time.Now()
 		assert.Equal(t, a.send("/o/x", "e", ""), http.StatusServiceUnavailable)
-		assert.Assert(t, time.Since(began) < 2*time.Second)
+		assert.Assert(t, time.Since(start) < 2*time.Second)
 	}
-	assert.Equal(t, f.ran("dc")+f.ran("west"), before)
+	assert.Equal(t, f.runCount("dc")+f.runCount("west"), before)
 	f.store.TakeBack("dc")
-	edgetest.Until(t, "one is back", func() bool { return a.send("/s/x", "e", "") == http.StatusOK })
+	edgetest.Until(t, "requests are served again", func() bool { return a.send("/s/x", "e", "") == http.StatusOK })
 }
 
-// The same data centre set and taken back and set again within one read is evacuated.
-func TestTheLastWordOnAnEvacuationCounts(t *testing.T) {
+// A data centre that is evacuated, restored and evacuated again between two reads of the store
+// counts as evacuated.
+func TestLatestEvacuationOrderApplies(t *testing.T) {
 	f := splitFleet(t, 49)
 	a := f.start("127.0.49.1")
 	for range 3 {
@@ -91,9 +92,9 @@
 	f.store.Put("op", "evacuate/west", []byte(`["a body that is not empty"]`))
 	f.store.Evacuate("nowhere")
 	time.Sleep(time.Second)
-	before := f.ran("west")
+	before := f.runCount("west")
 	for range 40 {
 		assert.Equal(t, a.send("/s/x", "e", ""), http.StatusOK)
 	}
-	assert.Equal(t, f.ran("west"), before)
+	assert.Equal(t, f.runCount("west"), before)
 }
--- a/internal/edge/node/fleet_test.go
+++ b/internal/edge/node/fleet_test.go
@@ -22,41 +22,41 @@
 	"github.com/windscale/windscale/test/loopback"
 )
 
-// fleet is some routers before stand-ins of the platform, all in this process.
+// fleet is a set of routers with stand-ins of the platform, all in this process.
 type fleet struct {
-	t       testing.TB
-	store   *platformtest.Store
-	stored  *httptest.Server
-	servers []*platformtest.Server
-	ports   [4]int
-	ids     atomic.Int64 // of attempts
-	// settings are sections beside those that each router has.
-	settings string
-	// prompts is how many shared parts the requests' prompts have between them; 0: one.
-	prompts int64
+	t            testing.TB
+	store        *platformtest.Store
+	storeServer  *httptest.Server
+	servers      []*platformtest.Server
+	ports        [4]int
+	attemptCount atomic.Int64 // makes attempt IDs unique
+	// extraSettings are sections added to the settings of each router.
+	extraSettings string
+	// promptPrefixes is how many different prompt prefixes the requests share; 0 means one.
+	promptPrefixes int64
 }
 
-// member is one router.
+// member is one router of a fleet.
 type member struct {
-	f          *fleet
+	fleet      *fleet
 	ip         string
 	dataCentre string
-	ports      [4]int // of callers, readiness, control and datagrams
+	ports      [4]int // for callers, readiness, control and datagrams
 	node       *Node
 	kill       func()
 }
 
-// fleetEngines is how many engines a fleet has: more than a request may end in the
-// tests, so that a choice is left while some are away.
+// fleetEngines is the number of servers in a fleet. It exceeds the number that may crash under
+// one request in the tests, so that some are left while others are down.
 const fleetEngines = 10
 
-// newFleet starts the platform. Its routers listen on the loopback network 127.0.NET.
+// newFleet starts the platform. Its routers listen on the loopback network 127.0.NETWORK.
 func newFleet(t testing.TB, network int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, store: platformtest.NewStore()}
-	f.stored = httptest.NewServer(f.store)
-	t.Cleanup(f.stored.Close)
-	t.Cleanup(f.stored.CloseClientConnections)
+	f.storeServer = httptest.NewServer(f.store)
+	t.Cleanup(f.storeServer.Close)
+	t.Cleanup(f.storeServer.CloseClientConnections)
 	f.ports = reservePorts(t, fmt.Sprintf("127.0.%d.1", network))
 	route := func(prefix string, resume bool) platformtest.Route {
 		return platformtest.Route{Prefix: prefix, Kind: "streaming", Service: "llm", Attempts: 2, Resume: resume, Timeout: 5 * time.Second}
@@ -83,22 +83,22 @@
 	return ports
 }
 
-// start starts a router that knows the seeds, and waits until it is ready.
+// start starts a router with the given seeds and waits until it is ready.
 func (f *fleet) start(ip string, seeds ...*member) *member {
-	m := &member{f: f, ip: ip, dataCentre: "dc", ports: f.ports}
+	m := &member{fleet: f, ip: ip, dataCentre: "dc", ports: f.ports}
 	m.start(seeds...)
 	return m
 }
 
-// start starts the router's node, also after a kill, and waits until it is ready.
+// start starts the router, also after a kill, and waits until it is ready.
 func (m *member) start(seeds ...*member) {
-	m.begin(seeds...)
-	edgetest.Until(m.f.t, "ready", m.node.ready)
+	m.launch(seeds...)
+	edgetest.Until(m.fleet.t, "ready", m.node.ready)
 }
 
-// begin starts the router's node.
-func (m *member) begin(seeds ...*member) {
-	t := m.f.t
+// launch starts the router without waiting for it to be ready.
+func (m *member) launch(seeds ...*member) {
+	t := m.fleet.t
 	var controls []string
 	for _, s := range seeds {
 		controls = append(controls, s.addr(2))
@@ -123,7 +123,7 @@
 [bounds]
 grace_s = 1
 %s
-`, m.ip, m.dataCentre, m.addr(0), m.addr(1), m.addr(2), m.addr(3), strings.TrimPrefix(m.f.stored.URL, "http://"), strings.Join(controls, ","), m.f.settings)
+`, m.ip, m.dataCentre, m.addr(0), m.addr(1), m.addr(2), m.addr(3), strings.TrimPrefix(m.fleet.storeServer.URL, "http://"), strings.Join(controls, ","), m.fleet.extraSettings)
 	path := filepath.Join(t.TempDir(), "edge.ini")
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 	s, err := settings.Load(path)
@@ -133,16 +133,16 @@
 	m.run()
 }
 
-// run runs the node until it is killed.
+// run runs the router until it is killed.
 func (m *member) run() {
 	var g run.Group
 	m.node.Actors(&g, nil, nil)
 	stop := make(chan struct{})
 	g.Add(func() error { <-stop; return nil }, func(error) {})
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		_ = g.Run() // it ends as it is told to
+		defer close(done)
+		_ = g.Run() // ends with the error of whichever actor ended first
 	}()
 	killed := false
 	m.kill = func() {
@@ -151,24 +151,24 @@
 		}
 		killed = true
 		close(stop)
-		<-ended
-		_ = m.node.callers.Close()
+		<-done
+		_ = m.node.callerServer.Close()
 	}
-	m.f.t.Cleanup(m.kill)
+	m.fleet.t.Cleanup(m.kill)
 }
 
-// addr is the router's address with the port of the index.
+// addr returns the router's address with the port at that index of ports.
 func (m *member) addr(port int) string { return fmt.Sprintf("%s:%d", m.ip, m.ports[port]) }
 
-// send makes one request of an attempt of its own, whose ID begins with name, and returns
-// the answer's status; 0: none.
-func (m *member) send(path, name, body string) int {
+// send sends one request as an attempt of its own, whose ID begins with attemptPrefix, and
+// returns the status of the answer; 0 if there is none.
+func (m *member) send(path, attemptPrefix, body string) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+m.addr(0)+path, strings.NewReader(body))
-	assert.NilError(m.f.t, err)
+	assert.NilError(m.fleet.t, err)
 	req.Host = platformtest.Host
-	id := m.f.ids.Add(1)
-	prompt := fmt.Sprintf("aa%d:600,bb:100", id%max(m.f.prompts, 1))
-	platformtest.Ask(req.Header, fmt.Sprintf("%s-%d", name, id), "k", 5*time.Second, prompt)
+	id := m.fleet.attemptCount.Add(1)
+	prompt := fmt.Sprintf("aa%d:600,bb:100", id%max(m.fleet.promptPrefixes, 1))
+	platformtest.Ask(req.Header, fmt.Sprintf("%s-%d", attemptPrefix, id), "k", 5*time.Second, prompt)
 	req.Close = true
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/internal/edge/node/flood_bench_test.go
+++ b/internal/edge/node/flood_bench_test.go
@@ -21,8 +21,9 @@
 	"github.com/windscale/windscale/platform/platformtest"
 )
 
-// BenchmarkRefusal is what a refusal costs on a host that is behind its work, its caller
-// included, by the listener and by net/http: a request of 9 KB on a connection of its own.
+// BenchmarkRefusal measures the cost of a refusal on a host that is behind its work, including
+// the caller: by the listener and by net/http, for a request of 9 KB on a connection of its
+// own.
 func BenchmarkRefusal(b *testing.B) {
 	for name, wait := range map[string]time.Duration{"by the listener": pressure.Saturated, "by net/http": pressure.Busy - 1} {
 		b.Run(name, func(b *testing.B) {
@@ -40,7 +41,7 @@
 			ln, err := net.Listen("tcp4", "127.0.0.1:0")
 			assert.NilError(b, err)
 			server := &http.Server{Handler: handler}
-			go func() { _ = server.Serve(newLimiter(ln, handler, 112)) }() // it ends with the benchmark
+			go func() { _ = server.Serve(newLimiter(ln, handler, 112)) }() // returns when the benchmark closes the server
 			b.Cleanup(func() { _ = server.Close() })
 			header := http.Header{}
 			platformtest.Ask(header, "a1", "k", 6*time.Second, "aa:6300,bb:2890")
@@ -49,26 +50,26 @@
 			assert.NilError(b, header.Write(&request))
 			request.WriteString("\r\n" + strings.Repeat("x", 9200))
 			b.ReportAllocs()
-			b.SetParallelism(128) // the listener waits a moment for requests
-			before := processorTime(b)
+			b.SetParallelism(128) // the listener holds each connection briefly until its request arrives
+			before := processCPUTime(b)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					refuseOne(b, ln.Addr().String(), request.String())
 				}
 			})
-			b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64(processCPUTime(b)-before)/float64(b.N), "cpu-ns/op")
 		})
 	}
 }
 
-// processorTime is what this process has taken so far, callers included.
-func processorTime(b *testing.B) time.Duration {
+// processCPUTime returns the processor time used by this process so far, callers included.
+func processCPUTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// refuseOne makes a request on a connection of its own and reads its answer.
+// refuseOne sends a request on a new connection and reads the answer.
 func refuseOne(b *testing.B, addr, request string) {
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
--- a/internal/edge/node/flood_test.go
+++ b/internal/edge/node/flood_test.go
@@ -25,48 +25,47 @@
 	"github.com/windscale/windscale/platform/platformtest"
 )
 
-// What was seen: a customer that asked for ten times its share got a third of it for
-// seconds, while others got theirs. How: its callers came by one host of a fifth of a
-// core, 2,500 requests a second with those that came back. Cause: such a request was
-// refused only after a goroutine, buffers and net/http had been spent on it, 70 us of
-// a core; refusing took the whole processor, the wait by which the host judges itself
-// stayed high whatever it refused, and it let nothing in with nothing in progress. Proof:
-// the lines of that host (asked 10.5 M tokens a second, refused for its own load 10.4 M,
-// believed served 0.14 M of a share of 0.5 M, wait 45 to 95 ms, 2 to 16 requests in
-// progress), and that it lets in its share once refusing costs less.
+// Guards against a host whose whole processor is taken by refusing a flood. A customer that
+// asked for ten times its share got a third of its share for seconds, while others got theirs.
+// Its callers sent 2,500 requests per second, retries included, through one host with a fifth
+// of a core. Each was refused only after a goroutine, buffers and net/http had been spent on
+// it, at 70 us of a core. The processor wait by which the host judges its load therefore
+// stayed at 45 to 95 ms whatever it refused, and it admitted almost nothing with only 2 to 16
+// requests in progress: of 10.5 M tokens asked per second it refused 10.4 M for its own load,
+// and believed 0.14 M served, of a share of 0.5 M. It admits the share once refusals cost less.
 //
-// The pattern: a host is behind its work, and one customer has most of what is in
-// progress there. That customer's request on a new connection is refused by the
-// listener itself, with one look, one answer and one close; another customer's is served.
-func TestAFloodIsRefusedBeforeAnythingIsSpentOnIt(t *testing.T) {
+// The host is behind its work and one customer has most of the requests in progress. That
+// customer's request on a new connection is refused by the listener with one read, one write
+// and one close; another customer's request is served.
+func TestListenerRefusesFloodingCustomer(t *testing.T) {
 	h := newBusyHost(t)
-	h.fill(t)
+	h.occupy(t)
 	h.wait.Store(int64(100 * time.Millisecond))
 	refused := h.connect(t, "flood")
-	assert.Equal(t, refused.status(t), http.StatusServiceUnavailable)
+	assert.Equal(t, refused.readStatus(t), http.StatusServiceUnavailable)
 	assert.Equal(t, refused.host.reads.Load(), int64(1))
 	assert.Equal(t, refused.host.writes.Load(), int64(1))
 	assert.Equal(t, refused.host.closes.Load(), int64(1))
 	assert.Equal(t, refused.host.others.Load(), int64(0))
-	let := h.connect(t, "other")
-	assert.Equal(t, let.status(t), http.StatusOK)
+	served := h.connect(t, "other")
+	assert.Equal(t, served.readStatus(t), http.StatusOK)
 }
 
-// What was seen: a customer whose callers came by one host of 0.144 cores, 1,600 requests a second
-// with those that came back, got a fifth of what the best served customer got, all day long. That host
-// admitted 460 connections a second and served 35. Cause: each request that is admitted counts as work
-// to wait for until the next measurement; the first 17 brought that above the bound from which
-// new requests are refused, and all of them were then refused for it, by net/http, at the
-// price of the third of an answer. Proof: the processor time of that host by what it was spent
-// on; with the decision made once the same day breaks no rule.
+// Guards against refusing requests for the load that their own admission adds. Each admitted
+// request counts as expected work until the next measurement. On a host with 0.144 cores and
+// 1,600 requests per second of one customer, retries included, the first 17 brought that above
+// the bound from which new requests are refused; net/http then refused all of them, each at a
+// third of the cost of an answer. The host admitted 460 connections a second and served 35,
+// and the customer got a fifth of what the best served one got, all day. With one decision per
+// request, the same day breaks no rule.
 //
-// The pattern: more requests arrive together than a host bears. Those that its listener lets in
-// are served, and the others refused by the listener.
-func TestWhatAListenerLetsInIsNotRefusedForItsOwnWork(t *testing.T) {
+// More requests arrive at once than the host can bear. Those that the listener admits are
+// served, and it refuses the others.
+func TestRequestAdmittedByListenerIsNotRefusedLater(t *testing.T) {
 	h := newBusyHost(t)
-	h.fill(t)
+	h.occupy(t)
 	before := h.accepted.Load()
-	var admitted []callerOf
+	var admitted []callerConn
 	for h.probe.Expected() < pressure.Overloaded {
 		c := h.open(t)
 		h.backlog <- c.host
@@ -74,7 +73,7 @@
 		edgetest.Until(t, "the connection is not admitted", func() bool { return h.accepted.Load() == before+int64(len(admitted)) })
 	}
 	refused := h.connect(t, "flood")
-	assert.Equal(t, refused.status(t), http.StatusServiceUnavailable)
+	assert.Equal(t, refused.readStatus(t), http.StatusServiceUnavailable)
 	assert.Equal(t, refused.host.reads.Load(), int64(1))
 	for _, c := range admitted {
 		c.send(t, "flood")
@@ -89,38 +88,38 @@
 	}
 }
 
-// Guards against a flooded host that serves whoever floods it, past its bound, since a request that
-// its listener could not read counted as admitted.
+// Guards against a flooded host that serves the flooding customer beyond its bound because a
+// request that the listener could not read counted as admitted.
 //
-// The pattern: a host is behind its work, and what has arrived on a connection of the customer that
-// dominates it is not a whole request when its listener looks. It is refused, and another
-// customer's is served.
-func TestARequestThatItsListenerCouldNotReadIsStillToBeDecidedOn(t *testing.T) {
+// The host is behind its work, and what has arrived on a new connection is not a complete
+// request when the listener looks. The request is refused if it is from the customer with most
+// of the requests in progress, and served if it is from another customer.
+func TestRequestUnreadByListenerIsDecidedByHandler(t *testing.T) {
 	const length = "Content-Length: 64\r\n"
 	body := strings.Repeat("x", 64)
 	for _, tc := range []struct {
 		name   string
 		late   bool
 		length string
-		body   []string // as it is written
+		body   []string // written one part after the other
 	}{
-		{"it arrives after the look", true, length, []string{body}},
-		{"its body is sent in chunks", false, "Transfer-Encoding: chunked\r\n", []string{"40\r\n" + body + "\r\n0\r\n\r\n"}},
-		{"the end of its body is on its way", false, length, []string{body[:32], body[32:]}},
+		{"request arrives late", true, length, []string{body}},
+		{"chunked body", false, "Transfer-Encoding: chunked\r\n", []string{"40\r\n" + body + "\r\n0\r\n\r\n"}},
+		{"body arrives in two parts", false, length, []string{body[:32], body[32:]}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newBusyHost(t)
-			h.fill(t)
+			h.occupy(t)
 			h.wait.Store(int64(100 * time.Millisecond))
 			for customer, status := range map[string]int{"flood": http.StatusServiceUnavailable, "other": http.StatusOK} {
 				c := h.open(t)
-				c.host.late = tc.late
+				c.host.arrivesLate = tc.late
 				c.sendAs(t, customer, tc.length, tc.body...)
 				h.backlog <- c.host
 				select {
 				case <-h.entered:
 					t.Errorf("%s: served", customer)
-				case resp := <-c.answer():
+				case resp := <-c.response():
 					assert.Equal(t, resp.StatusCode, status, customer)
 				}
 			}
@@ -128,20 +127,20 @@
 	}
 }
 
-// busyHost is a host's listener and admission.
+// busyHost is the listener and the admission of a host that is behind its work.
 type busyHost struct {
-	wait     atomic.Int64    // for its processor, ns
-	probe    *pressure.Probe // counts what was admitted; nothing is measured
+	wait     atomic.Int64    // processor wait in ns
+	probe    *pressure.Probe // counts admissions; measures nothing
 	backlog  chan net.Conn
 	accepted atomic.Int64  // connections admitted
-	entered  chan struct{} // a request has passed the host's admission
-	leave    chan struct{} // closed: requests end
+	entered  chan struct{} // receives when a request has passed the host's admission
+	release  chan struct{} // closed: requests in progress end
 	listener net.Listener
 }
 
 func newBusyHost(t *testing.T) *busyHost {
 	t.Helper()
-	h := &busyHost{probe: pressure.New(0.2, time.Now), backlog: make(chan net.Conn), entered: make(chan struct{}), leave: make(chan struct{})}
+	h := &busyHost{probe: pressure.New(0.2, time.Now), backlog: make(chan net.Conn), entered: make(chan struct{}), release: make(chan struct{})}
 	s := state.New("dc", 0.2, 80, time.Now)
 	routes := []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", Attempts: 2, Timeout: 6 * time.Second}}
 	text := platformtest.Config(1, routes, []string{"llm"}, nil, map[string]string{"flood": "flood", "other": "other"})
@@ -156,76 +155,76 @@
 		ExpectedWait: func() time.Duration { return time.Duration(h.wait.Load()) + h.probe.Expected() },
 	})
 	limiter := newLimiter(h, handler, 112)
-	limiter.admitted = func() {
+	limiter.onAdmitted = func() {
 		h.probe.Admitted()
 		h.accepted.Add(1)
 	}
 	h.listener = limiter
-	server := &http.Server{Handler: h.serving(handler), ConnContext: withoutDescriptor, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
-	go func() { _ = server.Serve(h.listener) }() // it ends with the test
+	server := &http.Server{Handler: h.holdFlood(handler), ConnContext: connContextWithoutDescriptor, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
+	go func() { _ = server.Serve(h.listener) }() // returns when the test ends
 	t.Cleanup(func() {
-		close(h.leave)
+		close(h.release)
 		close(h.backlog)
 		_ = server.Close()
 	})
 	return h
 }
 
-// withoutDescriptor gives requests their connection's admission. A pipe has no descriptor at which it
-// could be seen that its caller is there.
-func withoutDescriptor(ctx context.Context, c net.Conn) context.Context {
+// connContextWithoutDescriptor gives requests the admission of their connection, but no
+// descriptor: a pipe has none by which a caller's disconnect could be seen.
+func connContextWithoutDescriptor(ctx context.Context, c net.Conn) context.Context {
 	return front.WithConn(ctx, struct {
 		net.Conn
 		front.AdmittedConn
 	}{c, c.(front.AdmittedConn)})
 }
 
-// serving keeps what the host lets in in progress: the flood's body ends when it is told to,
-// and the others' are served at once.
-func (h *busyHost) serving(handler http.Handler) http.Handler {
+// holdFlood wraps the handler so that admitted requests of the flooding customer stay in
+// progress until they are released; those of others are answered at once.
+func (h *busyHost) holdFlood(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Authorization") == "Bearer flood" {
-			r.Body = io.NopCloser(&slowBody{h: h})
+			r.Body = io.NopCloser(&blockingBody{h: h})
 			handler.ServeHTTP(w, r)
 			return
 		}
-		rec := &discarded{header: http.Header{}}
+		rec := &discardingWriter{header: http.Header{}}
 		handler.ServeHTTP(rec, r)
-		if rec.header.Get("Retry-After") == unserved {
-			w.WriteHeader(http.StatusOK) // it has passed the host's admission
+		if rec.header.Get("Retry-After") == retryAfterNoServer {
+			w.WriteHeader(http.StatusOK) // the request passed the host's admission
 			return
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 }
 
-// unserved is when callers are told to return for whom no server is listed.
-const unserved = "0.400"
+// retryAfterNoServer is the Retry-After of an answer for which no server is listed.
+const retryAfterNoServer = "0.400"
 
-// discarded keeps the header of an answer.
-type discarded struct{ header http.Header }
+// discardingWriter keeps only the header of an answer.
+type discardingWriter struct{ header http.Header }
 
-func (d *discarded) Header() http.Header         { return d.header }
-func (d *discarded) Write(b []byte) (int, error) { return len(b), nil }
-func (d *discarded) WriteHeader(int)             {}
+func (d *discardingWriter) Header() http.Header         { return d.header }
+func (d *discardingWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (d *discardingWriter) WriteHeader(int)             {}
 
-// SetReadDeadline is what the handler asks of an answer's connection.
-func (d *discarded) SetReadDeadline(time.Time) error { return nil }
+// SetReadDeadline is called by the handler on the connection of an answer.
+func (d *discardingWriter) SetReadDeadline(time.Time) error { return nil }
 
-// slowBody is a body that says when it is read, and ends when it is told to.
-type slowBody struct{ h *busyHost }
+// blockingBody reports when it is read, and ends when it is released.
+type blockingBody struct{ h *busyHost }
 
-func (b *slowBody) Read([]byte) (int, error) {
+func (b *blockingBody) Read([]byte) (int, error) {
 	select {
 	case b.h.entered <- struct{}{}:
-	case <-b.h.leave:
+	case <-b.h.release:
 	}
-	<-b.h.leave
+	<-b.h.release
 	return 0, io.EOF
 }
 
-// fill has the flood take all that is in progress.
-func (h *busyHost) fill(t *testing.T) {
+// occupy lets the flooding customer take all requests that may be in progress.
+func (h *busyHost) occupy(t *testing.T) {
 	t.Helper()
 	for range 8 {
 		h.connect(t, "flood")
@@ -248,14 +247,14 @@
 // Addr implements net.Listener.
 func (h *busyHost) Addr() net.Addr { return &net.TCPAddr{} }
 
-// callerOf is a caller's connection to the host, and the host's end of it.
-type callerOf struct {
+// callerConn is the caller's end of a connection to the host, along with the host's end.
+type callerConn struct {
 	net.Conn
-	host *countedOps
+	host *countingConn
 }
 
 // connect opens a connection on which a customer's request has arrived.
-func (h *busyHost) connect(t *testing.T, customer string) callerOf {
+func (h *busyHost) connect(t *testing.T, customer string) callerConn {
 	t.Helper()
 	c := h.open(t)
 	c.send(t, customer)
@@ -263,24 +262,24 @@
 	return c
 }
 
-// open returns a connection that the host is to accept.
-func (h *busyHost) open(t *testing.T) callerOf {
+// open returns a connection for the host to accept.
+func (h *busyHost) open(t *testing.T) callerConn {
 	t.Helper()
-	near, far := net.Pipe()
-	t.Cleanup(func() { _ = near.Close() })
-	return callerOf{near, &countedOps{Conn: far}}
+	callerEnd, hostEnd := net.Pipe()
+	t.Cleanup(func() { _ = callerEnd.Close() })
+	return callerConn{callerEnd, &countingConn{Conn: hostEnd}}
 }
 
-// send sends a customer's request.
-func (c callerOf) send(t *testing.T, customer string) {
+// send sends a request of a customer.
+func (c callerConn) send(t *testing.T, customer string) {
 	t.Helper()
 	const body = 64
 	c.sendAs(t, customer, "Content-Length: "+strconv.Itoa(body)+"\r\n", strings.Repeat("x", body))
 }
 
-// sendAs sends a customer's request with a header line for its length and a body, whose parts are
-// written one after the other.
-func (c callerOf) sendAs(t *testing.T, customer, length string, body ...string) {
+// sendAs sends a request of a customer with the given length header and body; the parts of the
+// body are written one after the other.
+func (c callerConn) sendAs(t *testing.T, customer, length string, body ...string) {
 	t.Helper()
 	header := http.Header{}
 	platformtest.Ask(header, customer, customer, 6*time.Second, "aa:600,bb:100")
@@ -290,13 +289,13 @@
 	text.WriteString("\r\n" + body[0])
 	go func() {
 		for _, part := range append([]string{text.String()}, body[1:]...) {
-			_, _ = io.WriteString(c, part) // the host may close without having read it
+			_, _ = io.WriteString(c, part) // the host may close the connection without reading it
 		}
 	}()
 }
 
-// answer returns the answer when it is there.
-func (c callerOf) answer() <-chan *http.Response {
+// response delivers the response once it has arrived.
+func (c callerConn) response() <-chan *http.Response {
 	answers := make(chan *http.Response, 1)
 	go func() {
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
@@ -306,8 +305,8 @@
 	return answers
 }
 
-// status reads the answer, and that its connection ends if it was refused.
-func (c callerOf) status(t *testing.T) int {
+// readStatus reads the response and checks that the connection is closed if it says so.
+func (c callerConn) readStatus(t *testing.T) int {
 	t.Helper()
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -319,32 +318,32 @@
 	return resp.StatusCode
 }
 
-// countedOps counts what is done on a connection.
-type countedOps struct {
+// countingConn counts the operations on a connection.
+type countingConn struct {
 	net.Conn
-	late                          bool // its request arrives after its listener has looked
+	arrivesLate                   bool // the request arrives after the listener has looked for it
 	reads, writes, closes, others atomic.Int64
 }
 
-// ReadArrived reads what has arrived; here that is the request, or nothing of it.
-func (c *countedOps) ReadArrived(b []byte) (int, error) {
-	if c.late {
+// ReadArrived reads what has arrived: the request, or nothing if it arrives late.
+func (c *countingConn) ReadArrived(b []byte) (int, error) {
+	if c.arrivesLate {
 		return 0, nil
 	}
 	return c.Read(b)
 }
 
-func (c *countedOps) Read(b []byte) (int, error)  { c.reads.Add(1); return c.Conn.Read(b) }
-func (c *countedOps) Write(b []byte) (int, error) { c.writes.Add(1); return c.Conn.Write(b) }
-func (c *countedOps) Close() error                { c.closes.Add(1); return c.Conn.Close() }
+func (c *countingConn) Read(b []byte) (int, error)  { c.reads.Add(1); return c.Conn.Read(b) }
+func (c *countingConn) Write(b []byte) (int, error) { c.writes.Add(1); return c.Conn.Write(b) }
+func (c *countingConn) Close() error                { c.closes.Add(1); return c.Conn.Close() }
 
-func (c *countedOps) CloseWrite() error             { c.others.Add(1); return nil }
-func (c *countedOps) SetDeadline(t time.Time) error { c.others.Add(1); return c.Conn.SetDeadline(t) }
-func (c *countedOps) SetReadDeadline(t time.Time) error {
+func (c *countingConn) CloseWrite() error             { c.others.Add(1); return nil }
+func (c *countingConn) SetDeadline(t time.Time) error { c.others.Add(1); return c.Conn.SetDeadline(t) }
+func (c *countingConn) SetReadDeadline(t time.Time) error {
 	c.others.Add(1)
 	return c.Conn.SetReadDeadline(t)
 }
-func (c *countedOps) SetWriteDeadline(t time.Time) error {
+func (c *countingConn) SetWriteDeadline(t time.Time) error {
 	c.others.Add(1)
 	return c.Conn.SetWriteDeadline(t)
 }
--- a/internal/edge/node/limiter.go
+++ b/internal/edge/node/limiter.go
@@ -11,42 +11,44 @@
 )
 
 const (
-	// connsPerMB is how many connections of callers a router keeps for each MB of
-	// its memory: one takes some 16 KB with its buffers and stacks, so that they
-	// take an eighth at most.
+	// connsPerMB is how many caller connections a router keeps per MB of its memory. One takes
+	// about 16 KB with its buffers and stacks, so they use at most an eighth of it.
 	connsPerMB = 8
-	// shedMost is of how many connections beyond that number, or of a host that has no
-	// time, a request is waited for that has not arrived when it is looked for. Each takes a
-	// goroutine and some 20 KB; were they as many as are served, the processor was theirs.
-	shedMost = 64
+	// maxShedding bounds the connections whose request had not arrived when it was looked for
+	// and is awaited only to be refused, because the router is full or the host is behind its
+	// work. Each takes a goroutine and about 20 KB; as many of them as of served connections
+	// would use up the processor.
+	maxShedding = 64
 )
 
-// connLimiter is a listener that keeps a bounded number of connections. One beyond
-// the bound has its request refused, by which its caller learns when to come back. One
-// beyond a second bound is closed at once, by which its caller learns that nothing was
-// read and asks another router.
+// connLimiter is a listener that bounds the number of open connections. A request on a
+// connection beyond the bound is refused with a time to retry after. When too many such
+// requests are being refused already, the connection is closed at once, which tells the caller
+// that nothing was read and lets it try another router.
 type connLimiter struct {
 	net.Listener
-	most     int64
-	shed     func(net.Conn) // refuses the request of a connection, and closes it
-	shedMost int64
-	// reject answers the request that has arrived on a connection for which there is no
-	// time, or, if it is told so, no room; it returns what it has read if it did not.
+	maxOpen     int64
+	shed        func(net.Conn) // refuses the request of a connection and closes it
+	maxShedding int64
+	// reject answers the request that has arrived on a connection if the host is behind its
+	// work or, if full is set, because there is no room. It returns the bytes read if it did
+	// not answer.
 	reject func(c front.Arrival, full bool) (read []byte, verdict front.Verdict)
-	// admitted notes that a connection is served.
-	admitted func()
-	// lost notes that a connection that was accepted could not be opened, and was closed.
-	lost func(error)
-	// raw is the listener's descriptor; nil: it has none.
-	raw syscall.RawConn
-	// waiting and pace are of who calls Accept.
-	waiting []waiting
-	pace    pace
-	// refusing reports whether this host refuses requests for its own load: then it does
-	// before anything is spent on them.
+	// onAdmitted is called when a connection is going to be served.
+	onAdmitted func()
+	// onOpenFailed is called when an accepted connection could not be opened and was closed.
+	onOpenFailed func(error)
+	// listenerConn is the listener's descriptor; nil if it has none.
+	listenerConn syscall.RawConn
+	// pending and throttle are used only by the goroutine that calls Accept.
+	pending  []pendingConn
+	throttle acceptThrottle
+	// refusing reports whether this host is refusing requests because of its own load.
+	// Requests are then refused before anything else is spent on them.
 	refusing func() bool
-	// wait is for how long what could run on this host waits for its processor.
-	wait func() time.Duration
+	// expectedWait returns how long a runnable goroutine on this host is expected to wait for
+	// the processor.
+	expectedWait func() time.Duration
 
 	open     atomic.Int64
 	shedding atomic.Int64 // connections whose requests are being refused
@@ -54,101 +56,104 @@
 	closed   atomic.Int64 // connections closed without an answer
 }
 
-// newLimiter returns the bound of a host with so much memory.
+// newLimiter returns a limiter for a host with that much memory.
 func newLimiter(l net.Listener, h *front.Handler, memoryMB int) *connLimiter {
-	most := int64(memoryMB * connsPerMB)
+	maxOpen := int64(memoryMB * connsPerMB)
 	limiter := &connLimiter{
-		Listener: l,
-		most:     most,
-		shed:     h.Shed,
-		shedMost: shedMost,
-		reject:   h.NewEarlyRejecter().Reject,
-		refusing: h.Refusing,
-		wait:     h.ExpectedWait,
-		admitted: func() {},
-		lost:     func(error) {},
+		Listener:     l,
+		maxOpen:      maxOpen,
+		shed:         h.Shed,
+		maxShedding:  maxShedding,
+		reject:       h.NewEarlyRejecter().Reject,
+		refusing:     h.Refusing,
+		expectedWait: h.ExpectedWait,
+		onAdmitted:   func() {},
+		onOpenFailed: func(error) {},
 	}
 	if c, ok := l.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
-			limiter.raw = raw
+			limiter.listenerConn = raw
 		}
 	}
 	return limiter
 }
 
-// near reports whether half of the bound is reached: from there on each answer ends its
-// connection. A flood's callers open more than they use, and keep them: at a host of
-// 112 MB some 900 connections were idle for the most part, and 5,931 of other callers
-// were reset.
-func (l *connLimiter) near() bool { return l.open.Load() > l.most/2 }
+// nearLimit reports whether more than half of the bound is reached; from then on each answer
+// closes its connection. Callers in a flood open more connections than they use, and keep
+// them: on a host of 112 MB about 900 connections were mostly idle while 5,931 of other
+// callers were reset.
+func (l *connLimiter) nearLimit() bool { return l.open.Load() > l.maxOpen/2 }
 
-// full reports whether new connections are not served: the balancer is to send them
+// full reports whether new connections are not served and the load balancer is to send them
 // elsewhere.
-func (l *connLimiter) full() bool { return l.open.Load() >= l.most }
+func (l *connLimiter) full() bool { return l.open.Load() >= l.maxOpen }
 
-// saturated reports whether this host is so far behind that each request is refused.
-func (l *connLimiter) saturated() bool { return l.wait() >= pressure.Saturated }
+// saturated reports whether this host is so far behind its work that it refuses every request.
+func (l *connLimiter) saturated() bool { return l.expectedWait() >= pressure.Saturated }
 
-// Accept returns the next connection that is served.
+// Accept returns the next connection to serve.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	for {
-		a, err := l.next()
+		a, err := l.nextConn()
 		if err != nil {
-			l.end()
+			l.closePending()
 			return nil, err
 		}
-		if c := l.take(a); c != nil {
+		if c := l.admit(a); c != nil {
 			return c, nil
 		}
 	}
 }
 
-// take returns the connection if it is served; it counts until it is closed.
-func (l *connLimiter) take(a arrival) *counted {
-	room := l.open.Add(1) <= l.most
-	var read []byte
-	verdict := front.Admitted // a host that refuses nothing need not look
-	if !room || l.refusing() {
-		read, verdict = l.reject(a, !room)
+// admit returns the connection if it is to be served, and nil otherwise. A returned connection
+// counts as open until it is closed.
+func (l *connLimiter) admit(a acceptedConn) *trackedConn {
+	hasRoom := l.open.Add(1) <= l.maxOpen
+	var received []byte
+	verdict := front.Admitted // a host that refuses nothing need not look at the request
+	if !hasRoom || l.refusing() {
+		received, verdict = l.reject(a, !hasRoom)
 	}
 	if verdict == front.Rejected {
 		l.open.Add(-1)
 		l.refused.Add(1)
-		_ = a.Close() // its caller has its answer, or has left
+		_ = a.Close() // the caller has its answer or has disconnected
 		return nil
 	}
 	c, err := a.Open()
 	if err != nil {
 		l.open.Add(-1)
 		l.closed.Add(1)
-		l.lost(err)
+		l.onOpenFailed(err)
 		return nil
 	}
-	if len(read) > 0 {
-		c = &begun{Conn: c, read: read}
+	if len(received) > 0 {
+		c = &prefixedConn{Conn: c, prefix: received}
 	}
-	if room && !l.saturated() {
-		l.admitted()
-		return l.serve(c, verdict)
+	if hasRoom && !l.saturated() {
+		l.onAdmitted()
+		return l.track(c, verdict)
 	}
 	l.open.Add(-1)
-	l.turnAway(c)
+	l.shedOrClose(c)
 	return nil
 }
 
-// serve returns a connection on which the verdict, if there is one, stands.
-func (l *connLimiter) serve(c net.Conn, verdict front.Verdict) *counted {
-	served := &counted{Conn: c, limiter: l}
+// track wraps a connection that counts as open, and records the time if its request was
+// admitted already.
+func (l *connLimiter) track(c net.Conn, verdict front.Verdict) *trackedConn {
+	tracked := &trackedConn{Conn: c, limiter: l}
 	if verdict == front.Admitted {
 		now := time.Now()
-		served.admittedAt.Store(&now)
+		tracked.admittedAt.Store(&now)
 	}
-	return served
+	return tracked
 }
 
-// turnAway refuses the connection's request, or closes it unread.
-func (l *connLimiter) turnAway(c net.Conn) {
-	if l.shedding.Add(1) > l.shedMost {
+// shedOrClose refuses the connection's request, or closes the connection unread if too many
+// are being refused already.
+func (l *connLimiter) shedOrClose(c net.Conn) {
+	if l.shedding.Add(1) > l.maxShedding {
 		l.shedding.Add(-1)
 		l.closed.Add(1)
 		_ = c.Close()
--- a/internal/edge/node/limiter_test.go
+++ b/internal/edge/node/limiter_test.go
@@ -13,18 +13,18 @@
 	"github.com/windscale/windscale/internal/edge/pressure"
 )
 
-func no() bool { return false }
+func never() bool { return false }
 
-// passOn refuses nothing.
-func passOn(front.Arrival, bool) ([]byte, front.Verdict) { return nil, front.Admitted }
+// admitAll rejects nothing.
+func admitAll(front.Arrival, bool) ([]byte, front.Verdict) { return nil, front.Admitted }
 
-// A connection beyond the bound is closed without a byte, and there is room
-// again once another was closed (a flood took all descriptors and the memory of a
-// host of 112 MB).
-func TestConnectionsAreBounded(t *testing.T) {
+// Guards against a flood that takes all descriptors and the memory of a host (seen with 112
+// MB): a connection beyond the bound is closed without a byte, and closing another one makes
+// room.
+func TestConnectionBeyondLimitIsClosed(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	l := &connLimiter{Listener: ln, most: 1, shed: func(c net.Conn) { _ = c.Close() }, reject: passOn, refusing: no, admitted: func() {}, wait: func() time.Duration { return 0 }}
+	l := &connLimiter{Listener: ln, maxOpen: 1, shed: func(c net.Conn) { _ = c.Close() }, reject: admitAll, refusing: never, onAdmitted: func() {}, expectedWait: func() time.Duration { return 0 }}
 	defer func() { _ = l.Close() }()
 	accepted := make(chan net.Conn)
 	go func() {
@@ -49,18 +49,18 @@
 	assert.Equal(t, l.closed.Load(), int64(1))
 	assert.Assert(t, l.full())
 	assert.NilError(t, first.Close())
-	_ = first.Close() // counts once
+	_ = first.Close() // a second close is not counted
 	dial()
 	<-accepted
 	assert.Equal(t, l.open.Load(), int64(1))
 }
 
-// With room to answer, the request of a connection beyond the bound is refused, and that
-// of any new one on a host that has no time.
-func TestARequestBeyondTheBoundIsRefused(t *testing.T) {
+// While there is room to answer, a request on a connection beyond the bound is refused, and so
+// is any request on a new connection to a saturated host.
+func TestRequestBeyondLimitIsRefused(t *testing.T) {
 	for name, l := range map[string]*connLimiter{
-		"no room": {refusing: no, admitted: func() {}, wait: func() time.Duration { return 0 }},
-		"no time": {most: 10, admitted: func() {}, refusing: func() bool { return true }, wait: func() time.Duration { return pressure.Saturated }},
+		"router is full":    {refusing: never, onAdmitted: func() {}, expectedWait: func() time.Duration { return 0 }},
+		"host is saturated": {maxOpen: 10, onAdmitted: func() {}, refusing: func() bool { return true }, expectedWait: func() time.Duration { return pressure.Saturated }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -68,13 +68,13 @@
 			defer func() { _ = ln.Close() }()
 			shed := make(chan net.Conn, 1)
 			l.Listener = ln
-			l.reject = passOn
+			l.reject = admitAll
 			l.shed = func(c net.Conn) { shed <- c }
-			l.shedMost = 1
+			l.maxShedding = 1
 			accepted := make(chan struct{})
 			go func() {
 				defer close(accepted)
-				_, _ = l.Accept() // ends with the listener
+				_, _ = l.Accept() // returns when the listener is closed
 			}()
 			c, err := net.Dial("tcp4", ln.Addr().String())
 			assert.NilError(t, err)
@@ -83,7 +83,7 @@
 			case c := <-shed:
 				_ = c.Close()
 			case <-accepted:
-				t.Fatal("the connection was taken")
+				t.Fatal("the connection was accepted")
 			}
 			assert.Equal(t, l.refused.Load(), int64(1))
 			assert.Equal(t, l.closed.Load(), int64(0))
@@ -91,21 +91,21 @@
 	}
 }
 
-// unopened is an arrival that can't be opened.
-type unopened struct {
-	arrival
+// unopenableConn is an accepted connection that fails to open.
+type unopenableConn struct {
+	acceptedConn
 	err error
 }
 
-func (u unopened) Open() (net.Conn, error) { return nil, u.err }
+func (u unopenableConn) Open() (net.Conn, error) { return nil, u.err }
 
-// A connection that can't be opened, since the process has no descriptor left, is told of, and
-// takes no room from others.
-func TestAConnectionThatCantBeOpenedIsToldOf(t *testing.T) {
-	var lost error
-	l := &connLimiter{most: 1, reject: passOn, refusing: no, lost: func(err error) { lost = err }}
-	assert.Assert(t, l.take(unopened{err: syscall.EMFILE}) == nil)
-	assert.ErrorIs(t, lost, syscall.EMFILE)
+// A connection that can't be opened, since the process has no descriptor left, is reported and
+// does not count as open.
+func TestConnectionThatFailsToOpenIsReported(t *testing.T) {
+	var reported error
+	l := &connLimiter{maxOpen: 1, reject: admitAll, refusing: never, onOpenFailed: func(err error) { reported = err }}
+	assert.Assert(t, l.admit(unopenableConn{err: syscall.EMFILE}) == nil)
+	assert.ErrorIs(t, reported, syscall.EMFILE)
 	assert.Equal(t, l.open.Load(), int64(0))
 	assert.Equal(t, l.closed.Load(), int64(1))
 }
--- a/internal/edge/node/metrics.go
+++ b/internal/edge/node/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/windscale/windscale/internal/edge/peers"
 )
 
-// metricsServer shows the metrics, as text and as expvar.
+// metricsServer serves the metrics in text format and as expvar.
 func (n *Node) metricsServer() *http.Server {
 	n.meter.Gauge("running", "Requests in progress.", func() float64 { return float64(n.handler.Running()) })
 	n.meter.Gauge("configuration_version", "Version of the configuration in force; 0: none.", func() float64 { return float64(n.state.Version()) })
@@ -39,7 +39,7 @@
 	n.meter.Gauge("callers_connections", "Connections of callers.", func() float64 { return float64(n.limiter.open.Load()) })
 	n.meter.Gauge("callers_turned_away", "Connections of callers closed without an answer since the start: too many, or no descriptor left.", func() float64 { return float64(n.limiter.closed.Load()) })
 	n.meter.Gauge("callers_refused", "Connections of callers whose request was refused since the start for being too many.", func() float64 { return float64(n.limiter.refused.Load()) })
-	n.meter.Gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(n.dropped()) })
+	n.meter.Gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(n.droppedLogLines()) })
 	n.peerMetrics()
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", n.meter.Handler())
@@ -47,7 +47,7 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 }
 
-// peerMetrics shows what this router tells others and gives them.
+// peerMetrics registers the metrics of the traffic with other routers.
 func (n *Node) peerMetrics() {
 	stats := &n.peers.Stats
 	stats.EachSent(func(kind string, t *peers.Traffic) {
@@ -55,8 +55,8 @@
 		n.meter.Counter("heartbeats_total", "Heartbeats sent to other routers.", labels, func() float64 { return float64(t.Messages.Load()) })
 		n.meter.Counter("heartbeat_bytes_total", "Their bytes.", labels, func() float64 { return float64(t.Bytes.Load()) })
 	})
-	stats.EachPart(func(part string, left func() int64) {
-		n.meter.Counter("heartbeat_left_out_total", "Entries that found no room in a heartbeat.", map[string]string{"part": part}, func() float64 { return float64(left()) })
+	stats.EachPart(func(part string, omitted func() int64) {
+		n.meter.Counter("heartbeat_left_out_total", "Entries that found no room in a heartbeat.", map[string]string{"part": part}, func() float64 { return float64(omitted()) })
 	})
 	for direction, t := range map[string]*peers.Traffic{"given": stats.Given(), "fetched": stats.Fetched()} {
 		labels := map[string]string{"direction": direction}
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts one router of the users' platform together: its listeners,
-// what it follows, its peers, and its start, reload and stop.
+// Package node assembles one router of the platform: its listeners, the store follower, its
+// peers, and startup, settings reload and shutdown.
 package node
 
 import (
@@ -32,58 +32,60 @@
 )
 
 const (
-	// tickEvery is how often the state forgets what is old.
-	tickEvery = 200 * time.Millisecond
-	// retireEvery is how often idle connections to servers are looked through.
-	retireEvery = time.Second
-	// heldPart is the part of the memory that requests' bodies may take.
-	heldPart = 0.25
-	// runsPerMB is how many requests may be in progress for each MB of memory:
-	// one takes some 50 KB with its body, buffers and stacks, and the collector
-	// as much again. 112 MB were used up by some 900.
-	runsPerMB = 4
-	// headerTimeout and idleTimeout bound callers until a configuration is known,
-	// and from above: its own limits, 3 s and 15 s where they were seen, are kept
-	// by silence and, for the header's size, by the handler.
+	// maintenanceInterval is how often expired state is removed.
+	maintenanceInterval = 200 * time.Millisecond
+	// idleSweepInterval is how often idle connections to servers are checked.
+	idleSweepInterval = time.Second
+	// bodyMemoryFraction is the fraction of the memory that request bodies may use.
+	bodyMemoryFraction = 0.25
+	// requestsPerMB is how many requests may be in progress per MB of memory: one takes about
+	// 50 KB with its body, buffers and stacks, and the garbage collector as much again. A host
+	// with 112 MB ran out of memory at about 900 requests.
+	requestsPerMB = 4
+	// headerTimeout and idleTimeout bound callers until a configuration is known, and are
+	// upper bounds afterwards. The limits of the configuration (3 s and 15 s where they were
+	// observed) are enforced by callerTimeouts and, for the size of the header, by the
+	// handler.
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
-	// registerEvery is how often a router that hears no other reads the store's
-	// list of routers.
-	registerEvery = 5 * time.Second
-	// registerAfter is how long after it has sought its first view a router looks first,
-	// to twice that: by then seeds that live have answered, and a router of a large fleet
-	// need not be found in the store. All 295 routers that wrote their rows at the first
-	// start of all took the store two seconds.
-	registerAfter = 300 * time.Millisecond
+	// registryPollInterval is how often a router that hears no other router reads the list of
+	// routers in the store.
+	registryPollInterval = 5 * time.Second
+	// registryInitialDelay is the minimum delay, and half of the maximum, between the request
+	// for the first view and the first look at the registry. By then live seeds have answered,
+	// and a router of a large fleet need not be found through the store. When all 295 routers
+	// wrote their rows at the first start of the fleet, that kept the store busy for two
+	// seconds.
+	registryInitialDelay = 300 * time.Millisecond
 )
 
 // Node is one router.
 type Node struct {
-	path     string // of the settings file
-	settings *settings.Settings
-	level    *slog.LevelVar
-	dropped  func() int64 // log lines
-	log      *slog.Logger
+	settingsPath    string // settings file
+	settings        *settings.Settings
+	level           *slog.LevelVar
+	droppedLogLines func() int64 // count since the start
+	log             *slog.Logger
 
-	state    *state.State
-	store    *platform.Store
-	meter    *meter.Meter
-	pool     *upstream.Pool
-	handler  *front.Handler
-	peers    *peers.Peers
-	probe    *pressure.Probe
-	clock    *clock.Clock
-	limiter  *connLimiter
-	callers  *http.Server
-	draining atomic.Bool
+	state        *state.State
+	store        *platform.Store
+	meter        *meter.Meter
+	pool         *upstream.Pool
+	handler      *front.Handler
+	peers        *peers.Peers
+	probe        *pressure.Probe
+	clock        *clock.Clock
+	limiter      *connLimiter
+	callerServer *http.Server
+	draining     atomic.Bool
 
-	callersL, readyL, controlL, metricsL net.Listener
+	callerListener, readinessListener, controlListener, metricsListener net.Listener
 }
 
-// New opens a router's listeners. What it serves begins with Actors.
-func New(path string, s *settings.Settings, level *slog.LevelVar, log *slog.Logger, dropped func() int64) (*Node, error) {
-	n := &Node{path: path, settings: s, level: level, log: log, dropped: dropped}
+// New creates a router and opens its listeners. They are served once Actors is called.
+func New(settingsPath string, s *settings.Settings, level *slog.LevelVar, log *slog.Logger, droppedLogLines func() int64) (*Node, error) {
+	n := &Node{settingsPath: settingsPath, settings: s, level: level, log: log, droppedLogLines: droppedLogLines}
 	n.meter = meter.New()
 	n.probe = pressure.New(s.Cores, time.Now)
 	n.clock = clock.New()
@@ -102,19 +104,19 @@
 		Meter:   n.meter,
 		Now:     n.clock.Now,
 		OneIn:   s.LogOneInThis,
-		MaxHeld: int64(float64(s.MemoryMB<<20) * heldPart),
+		MaxHeld: int64(float64(s.MemoryMB<<20) * bodyMemoryFraction),
 
 		ProcessorWait: n.probe.Wait,
 		ExpectedWait:  n.probe.Expected,
-		NearConnLimit: func() bool { return n.limiter.near() },
-		MaxRunning:    int64(s.MemoryMB * runsPerMB),
+		NearConnLimit: func() bool { return n.limiter.nearLimit() },
+		MaxRunning:    int64(s.MemoryMB * requestsPerMB),
 	})
-	n.callers = &http.Server{
+	n.callerServer = &http.Server{
 		Handler:           n.handler,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ConnState:         newSilence(n.state.Limits).changed,
+		ConnState:         newCallerTimeouts(n.state.Limits).connStateChanged,
 		ConnContext:       front.WithConn,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
@@ -124,21 +126,21 @@
 	return n, nil
 }
 
-// rolloutBounds are what a bad version may get.
+// rolloutBounds returns the limits on traffic to a version that is not yet trusted.
 func rolloutBounds(s *settings.Settings) rollout.Bounds {
 	return rollout.Bounds{Share: s.ExposeShare, Slack: s.ExposeSlack}
 }
 
-// listen opens the sockets.
+// listen opens the sockets and creates what depends on them.
 func (n *Node) listen() error {
 	for _, l := range []struct {
-		to   *net.Listener
-		addr string
+		listener *net.Listener
+		addr     string
 	}{
-		{&n.callersL, n.settings.Callers},
-		{&n.readyL, n.settings.Ready},
-		{&n.controlL, n.settings.Control},
-		{&n.metricsL, n.settings.Metrics},
+		{&n.callerListener, n.settings.Callers},
+		{&n.readinessListener, n.settings.Ready},
+		{&n.controlListener, n.settings.Control},
+		{&n.metricsListener, n.settings.Metrics},
 	} {
 		if l.addr == "" {
 			continue
@@ -147,7 +149,7 @@
 		if err != nil {
 			return err
 		}
-		*l.to = opened
+		*l.listener = opened
 		events.ListenerStarted.Log(context.Background(), n.log, slog.LevelInfo, "addr", l.addr)
 	}
 	addr, err := net.ResolveUDPAddr("udp4", n.settings.Datagrams)
@@ -164,88 +166,88 @@
 		Cores:      float32(n.settings.Cores),
 	}, conn, platform.DecodeConfig, n.probe.Wait, n.clock.Now)
 	n.peers.Add(true, n.settings.Seeds...)
-	n.limiter = newLimiter(n.callersL, n.handler, n.settings.MemoryMB)
-	n.limiter.admitted = n.probe.Admitted
-	n.limiter.lost = n.connectionLost()
+	n.limiter = newLimiter(n.callerListener, n.handler, n.settings.MemoryMB)
+	n.limiter.onAdmitted = n.probe.Admitted
+	n.limiter.onOpenFailed = n.openFailureLogger()
 	return nil
 }
 
-// connectionLost returns what writes of connections of callers that could not be opened, one
-// line a second at most: a process without descriptors loses them all.
-func (n *Node) connectionLost() func(error) {
-	lines := rate.Sometimes{Interval: time.Second}
+// openFailureLogger returns a function that logs caller connections that could not be opened,
+// at most one line per second: a process that has run out of descriptors loses all of them.
+func (n *Node) openFailureLogger() func(error) {
+	throttle := rate.Sometimes{Interval: time.Second}
 	return func(err error) {
-		lines.Do(func() {
+		throttle.Do(func() {
 			events.CallerLost.Log(context.Background(), n.log, slog.LevelWarn, "err", err,
 				"connections", n.limiter.open.Load(), "connectionsClosed", n.limiter.closed.Load())
 		})
 	}
 }
 
-// Actors adds what the router does to the group. The group ends when the
-// router was told to stop and has drained.
+// Actors adds the router's actors to the group. The group ends after the router was told to
+// stop and has drained.
 func (n *Node) Actors(g *run.Group, hup, term <-chan os.Signal) {
 	f := &follow.Follower{
 		State: n.state, Store: n.store, Log: n.log, Meter: n.meter, Joined: n.peers.Joined, Now: n.clock.Now,
 		Role: n.peers.Role, Registers: n.peers.Registers, MissesMany: n.peers.MissesMany, Bounds: rolloutBounds(n.settings),
 	}
 	n.peers.Join(n.settings.Seeds, n.settings.FirstStart)
-	n.loop(g, f.Config)
-	n.loop(g, f.Servers)
-	n.loop(g, f.KeepBlocked)
-	n.loop(g, f.Rollouts)
-	n.loop(g, n.peers.Run)
-	n.loop(g, n.peers.Receive)
-	n.loop(g, n.tick)
-	n.loop(g, n.probe.Run)
-	n.loop(g, func(ctx context.Context) error { return n.clock.Run(ctx, n.log, n.handler.Resumed) })
-	n.loop(g, n.register)
-	n.loop(g, func(ctx context.Context) error { return n.reload(ctx, hup) })
-	n.loop(g, func(ctx context.Context) error { return n.stop(ctx, term) })
-	n.serve(g, n.readyServer(), n.readyL)
-	n.serve(g, &http.Server{Handler: n.peers.Handler(), ReadHeaderTimeout: headerTimeout}, n.controlL)
-	if n.metricsL != nil {
-		n.serve(g, n.metricsServer(), n.metricsL)
+	n.addLoop(g, f.Config)
+	n.addLoop(g, f.Servers)
+	n.addLoop(g, f.KeepBlocked)
+	n.addLoop(g, f.Rollouts)
+	n.addLoop(g, n.peers.Run)
+	n.addLoop(g, n.peers.Receive)
+	n.addLoop(g, n.maintain)
+	n.addLoop(g, n.probe.Run)
+	n.addLoop(g, func(ctx context.Context) error { return n.clock.Run(ctx, n.log, n.handler.Resumed) })
+	n.addLoop(g, n.maintainRegistration)
+	n.addLoop(g, func(ctx context.Context) error { return n.watchSettings(ctx, hup) })
+	n.addLoop(g, func(ctx context.Context) error { return n.drainOnSignal(ctx, term) })
+	n.addServer(g, n.readinessServer(), n.readinessListener)
+	n.addServer(g, &http.Server{Handler: n.peers.Handler(), ReadHeaderTimeout: headerTimeout}, n.controlListener)
+	if n.metricsListener != nil {
+		n.addServer(g, n.metricsServer(), n.metricsListener)
 	}
-	n.accept(g)
+	n.serveCallers(g)
 }
 
-// accept serves callers. Its listener closes before the rest ends, which is no
-// failure; that it ends otherwise is one: a router that says that it is ready and
-// takes no connection is worse than one that starts again.
-func (n *Node) accept(g *run.Group) {
-	failed := make(chan error, 1)
+// serveCallers serves callers. The listener is closed before the rest ends, which is not a
+// failure. If it ends for another reason the process ends too, so that it is restarted: a
+// router that reports ready but accepts no connection is worse than one that restarts.
+func (n *Node) serveCallers(g *run.Group) {
+	serveErr := make(chan error, 1)
 	go func() {
-		err := n.callers.Serve(n.limiter)
+		err := n.callerServer.Serve(n.limiter)
 		if n.draining.Load() {
 			return
 		}
 		events.ProcessFailed.Log(context.Background(), n.log, slog.LevelError, "err", err)
-		failed <- err
+		serveErr <- err
 	}()
-	n.loop(g, func(ctx context.Context) error {
+	n.addLoop(g, func(ctx context.Context) error {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-failed:
+		case err := <-serveErr:
 			return err
 		}
 	})
 }
 
-// loop adds a function that runs until its context ends.
-func (n *Node) loop(g *run.Group, f func(context.Context) error) {
+// addLoop adds a function that runs until its context is cancelled.
+func (n *Node) addLoop(g *run.Group, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 }
 
-// serve adds a server that is closed when the group ends.
-func (n *Node) serve(g *run.Group, s *http.Server, l net.Listener) {
+// addServer adds a server that is closed when the group ends.
+func (n *Node) addServer(g *run.Group, s *http.Server, l net.Listener) {
 	g.Add(func() error { return s.Serve(l) }, func(error) { _ = s.Close() })
 }
 
-// readyServer answers whether this router takes connections.
-func (n *Node) readyServer() *http.Server {
+// readinessServer reports whether this router accepts connections.
+func (n *Node) readinessServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.PathReady, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.ready() {
@@ -257,29 +259,30 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 }
 
-// ready reports whether requests can be served and new connections are taken.
+// ready reports whether requests can be served and new connections are accepted.
 func (n *Node) ready() bool { return n.state.Ready() && !n.draining.Load() && !n.limiter.full() }
 
-// tick keeps the state fresh.
-func (n *Node) tick(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+// maintain periodically removes expired state, closes idle connections to servers, and logs
+// changes.
+func (n *Node) maintain(ctx context.Context) error {
+	t := time.NewTicker(maintenanceInterval)
 	defer t.Stop()
 	ready := false
-	var retired time.Time
-	var told accountLines
+	var lastSweep time.Time
+	var refusals refusalLog
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-t.C:
 			n.state.Tick().Log(n.log, "this router")
-			n.logWarmups(ctx)
-			n.logReturned(ctx)
-			if now.Sub(retired) > retireEvery {
-				retired = now
+			n.logColdServers(ctx)
+			n.logNoLongerLeaving(ctx)
+			if now.Sub(lastSweep) > idleSweepInterval {
+				lastSweep = now
 				n.pool.Retire(n.state.Known)
 			}
-			told.log(ctx, n, now)
+			refusals.logIfDue(ctx, n, now)
 			if r := n.ready(); r != ready {
 				ready = r
 				events.ReadyChanged.Log(ctx, n.log, slog.LevelInfo, "ready", ready, "config", n.state.Version())
@@ -288,29 +291,29 @@
 	}
 }
 
-// logWarmups tells which servers have become cold.
-func (n *Node) logWarmups(ctx context.Context) {
+// logColdServers logs the servers that have become cold.
+func (n *Node) logColdServers(ctx context.Context) {
 	for _, w := range n.state.TakeWarmups() {
 		events.ServerCold.Log(ctx, n.log, slog.LevelInfo, "server", w.Server.ID, "service", w.Server.Service,
 			"dataCentre", w.Server.DataCentre, "by", w.Source.String(), "forMs", w.Duration.Milliseconds())
 	}
 }
 
-// logReturned logs and counts the servers that are no longer marked as leaving.
-func (n *Node) logReturned(ctx context.Context) {
+// logNoLongerLeaving logs and counts the servers that are no longer marked as leaving.
+func (n *Node) logNoLongerLeaving(ctx context.Context) {
 	for _, r := range n.state.TakeReturned() {
 		n.meter.Believed(r.Server.Service, "returned")
 		events.ServerReturned.Log(ctx, n.log, slog.LevelInfo, "server", r.Server.ID, "service", r.Server.Service, "why", r.Reason)
 	}
 }
 
-// register writes this router's address into the store, if others are to find it there,
-// and reads those of the others while it hears none.
-func (n *Node) register(ctx context.Context) error {
-	written := false
-	era := uint64(0) // of the store that has the address
+// maintainRegistration writes this router's address to the store if it is one of the routers
+// to be found there, and reads the addresses of the others while it hears no other router.
+func (n *Node) maintainRegistration(ctx context.Context) error {
+	registered := false
+	era := uint64(0) // of the store that holds the address
 	n.peers.Joined(ctx)
-	t := time.NewTimer(registerAfter + rand.N(registerAfter))
+	t := time.NewTimer(registryInitialDelay + rand.N(registryInitialDelay))
 	defer t.Stop()
 	for {
 		select {
@@ -318,16 +321,16 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		t.Reset(registerEvery)
+		t.Reset(registryPollInterval)
 		if now := n.state.Era(); now != era {
 			era = now
-			written = false // the store may have lost it
+			registered = false // the store may have lost the address
 		}
-		if !written && n.peers.Registers() {
+		if !registered && n.peers.Registers() {
 			if err := n.store.Register(ctx, n.settings.Control); err != nil {
 				events.StoreRegister.Log(ctx, n.log, slog.LevelWarn, "err", err)
 			} else {
-				written = true
+				registered = true
 			}
 		}
 		if n.peers.Live() > 0 {
--- a/internal/edge/node/notice_test.go
+++ b/internal/edge/node/notice_test.go
@@ -16,7 +16,7 @@
 func TestRouterWithoutTheStoreObservesServerNotices(t *testing.T) {
 	const network, requests = 53, 100
 	f := newFleet(t, network)
-	f.prompts = 2 * fleetEngines // spreads requests over all engines
+	f.promptPrefixes = 2 * fleetEngines // spreads requests over all engines
 	first := f.start("127.0.53.1")
 	edgetest.Until(t, "the first router's server list", func() bool { return first.node.state.ServerCount() == fleetEngines })
 	f.store.Fail(func(*http.Request) platformtest.Trouble { return platformtest.Busy })
--- a/internal/edge/node/account_test.go
+++ b/internal/edge/node/refusallog_test.go
@@ -15,10 +15,10 @@
 	"github.com/windscale/windscale/internal/edge/state"
 )
 
-// A line says what became of a refused customer's tokens and of connections since the line
-// before, one a second at most.
-func TestARefusedCustomersLineSaysWhatBecameOfItsRequests(t *testing.T) {
-	var lines edgetest.Lines
+// A line reports the customer's tokens by outcome and the connections refused and closed since
+// the previous line. Lines are written at most once a second, and only after a refusal.
+func TestRefusalLogSummarizesRequestsAndConnections(t *testing.T) {
+	var lines edgetest.LogBuffer
 	s := state.New("dc", 0.2, 80, time.Now)
 	n := &Node{
 		log: slog.New(slog.NewTextHandler(&lines, nil)), state: s, limiter: &connLimiter{},
@@ -29,14 +29,14 @@
 		n.limiter.refused.Add(3)
 		n.limiter.closed.Add(2)
 	}
-	var told accountLines
+	var refusals refusalLog
 	now := time.Unix(1000, 0)
 	for range 2 {
 		refuse()
-		told.log(context.Background(), n, now)
-		now = now.Add(accountEvery)
+		refusals.logIfDue(context.Background(), n, now)
+		now = now.Add(refusalLogInterval)
 	}
-	told.log(context.Background(), n, now) // nothing was refused since
+	refusals.logIfDue(context.Background(), n, now) // nothing was refused since the previous line
 	all := strings.Split(strings.TrimSpace(lines.String()), "\n")
 	assert.Equal(t, len(all), 2, "%s", lines.String())
 	for _, line := range all {
@@ -45,6 +45,6 @@
 		}
 	}
 	refuse()
-	told.log(context.Background(), n, now.Add(accountEvery/2))
+	refusals.logIfDue(context.Background(), n, now.Add(refusalLogInterval/2))
 	assert.Equal(t, strings.Count(lines.String(), "\n"), 2)
 }
--- a/internal/edge/node/regions_test.go
+++ b/internal/edge/node/regions_test.go
@@ -11,11 +11,11 @@
 	"github.com/windscale/windscale/platform/platformtest"
 )
 
-// A route or customer that has homes is served there only, also where the caller's router
-// stands elsewhere; where both have some, both bind.
-func TestRequestsStayInTheirHomes(t *testing.T) {
+// A route or customer that has home regions is served only there, even if the caller's router
+// is in another region. If both have home regions, both restrict the choice.
+func TestRequestsStayInHomeRegions(t *testing.T) {
 	f := splitFleet(t, 51)
-	f.settings = "[regions]\ndc = east\nwest = far\n"
+	f.extraSettings = "[regions]\ndc = east\nwest = far\n"
 	routes := []platformtest.Route{}
 	for _, prefix := range []string{"/any/", "/far/", "/none/"} {
 		routes = append(routes, platformtest.Route{Prefix: prefix, Kind: "streaming", Service: "llm", Attempts: 2, Resume: true, Timeout: 5 * time.Second})
@@ -29,23 +29,23 @@
 	for range 40 {
 		assert.Equal(t, a.send("/any/x", "h", ""), http.StatusOK)
 	}
-	assert.Assert(t, f.ran("dc") > 0)
-	before := f.ran("dc")
+	assert.Assert(t, f.runCount("dc") > 0)
+	before := f.runCount("dc")
 	for range 40 {
 		assert.Equal(t, a.send("/far/x", "h", ""), http.StatusOK)
 	}
-	assert.Equal(t, f.ran("dc"), before)
+	assert.Equal(t, f.runCount("dc"), before)
 
 	config = platformtest.Config(3, routes, []string{"llm"}, nil, map[string]string{"k": "ana"})
 	config = platformtest.Homes(config, 2, []string{"far"}, 0, []string{"east"})
 	f.store.PutConfig(config)
 	edgetest.Until(t, "the next configuration", func() bool { return a.node.state.Version() == 3 })
-	west := f.ran("west")
+	west := f.runCount("west")
 	for range 40 {
 		assert.Equal(t, a.send("/any/x", "h", ""), http.StatusOK)
 	}
-	began := time.Now()
+	start := time.Now()
 	assert.Equal(t, a.send("/none/x", "h", ""), http.StatusServiceUnavailable)
-	assert.Assert(t, time.Since(began) < 2*time.Second)
-	assert.Equal(t, f.ran("west"), west, "the customer's homes bind too")
+	assert.Assert(t, time.Since(start) < 2*time.Second)
+	assert.Equal(t, f.runCount("west"), west, "the customer's home regions apply too")
 }
--- a/internal/edge/node/rollout_test.go
+++ b/internal/edge/node/rollout_test.go
@@ -13,30 +13,31 @@
 	"github.com/windscale/windscale/platform/platformtest"
 )
 
-// rolloutFor is how long the orders of these tests last.
-const rolloutFor = 6 * time.Second
+// rolloutDuration is how long a roll-out lasts in these tests.
+const rolloutDuration = 6 * time.Second
 
-// upgrade is a fleet of some routers before servers of two versions, with requests at all routers.
-type upgrade struct {
+// rolloutFleet is a fleet with servers of two versions and a load of requests at all routers.
+type rolloutFleet struct {
 	*fleet
-	members []*member
-	fresh   []*platformtest.Server // they run the new version
-	stop    chan struct{}
-	ended   sync.WaitGroup
+	members    []*member
+	newServers []*platformtest.Server // run the new version
+	stop       chan struct{}
+	callers    sync.WaitGroup
 }
 
-// newUpgrade starts it. The new version's servers fail or slow down as wrong says.
-func newUpgrade(t *testing.T, network, routers int, gap time.Duration, wrong func(attempt string) platformtest.Fault) *upgrade {
+// newRolloutFleet starts the routers. The new version's servers answer with the given gap
+// between two events and fail as fault says.
+func newRolloutFleet(t *testing.T, network, routers int, gap time.Duration, fault func(attempt string) platformtest.Fault) *rolloutFleet {
 	t.Helper()
-	u := &upgrade{fleet: newFleet(t, network), stop: make(chan struct{})}
-	u.settings = "[rollout]\nshare = 0.1\nslack = 50"
+	u := &rolloutFleet{fleet: newFleet(t, network), stop: make(chan struct{})}
+	u.extraSettings = "[rollout]\nshare = 0.1\nslack = 50"
 	for i := range fleetEngines {
 		s, err := platformtest.NewServer(fmt.Sprintf("n-%d", i), "llm", "dc", 5, gap)
 		assert.NilError(t, err)
 		t.Cleanup(s.Close)
 		s.Version = "v2"
-		s.Fail(wrong)
-		u.fresh = append(u.fresh, s)
+		s.Fail(fault)
+		u.newServers = append(u.newServers, s)
 	}
 	for i := range routers {
 		u.members = append(u.members, u.start(fmt.Sprintf("127.0.%d.%d", network, i+1), u.members...))
@@ -44,19 +45,19 @@
 	return u
 }
 
-// order has the operator order the new version, whose servers are there from then on.
-func (u *upgrade) order() {
-	for _, s := range u.fresh {
+// startRollout adds the new version's servers and orders the roll-out as an operator does.
+func (u *rolloutFleet) startRollout() {
+	for _, s := range u.newServers {
 		u.store.PutServer(s, "ready")
 	}
-	u.store.OrderRollout("llm", "v2", rolloutFor)
+	u.store.OrderRollout("llm", "v2", rolloutDuration)
 }
 
-// ask has callers ask all routers until the test ends.
-func (u *upgrade) ask(callers int) {
+// sendLoad sends requests to all routers, by that many callers each, until the test ends.
+func (u *rolloutFleet) sendLoad(perRouter int) {
 	for _, m := range u.members {
-		for range callers {
-			u.ended.Go(func() {
+		for range perRouter {
+			u.callers.Go(func() {
 				for {
 					select {
 					case <-u.stop:
@@ -68,46 +69,46 @@
 			})
 		}
 	}
-	u.t.Cleanup(u.end)
+	u.t.Cleanup(u.stopLoad)
 }
 
-// end ends the callers.
-func (u *upgrade) end() {
+// stopLoad stops the callers and waits for them.
+func (u *rolloutFleet) stopLoad() {
 	select {
 	case <-u.stop:
 	default:
 		close(u.stop)
 	}
-	u.ended.Wait()
+	u.callers.Wait()
 }
 
-// arrived is how many requests came to the servers.
-func arrived(list []*platformtest.Server) (n int) {
-	for _, s := range list {
+// totalRuns returns how many requests the servers have run.
+func totalRuns(servers []*platformtest.Server) (n int) {
+	for _, s := range servers {
 		n += len(s.Runs())
 	}
 	return n
 }
 
-// A good version is completed. From then on nothing goes to the old servers, at any router, also
-// one that starts then, and no request ran twice.
-func TestAGoodVersionIsCompleted(t *testing.T) {
-	u := newUpgrade(t, 70, 3, time.Millisecond, nil)
-	u.ask(8)
-	u.order()
-	edgetest.Until(t, "the order is known", func() bool { return u.store.RolloutState("llm") == "running" })
-	edgetest.Until(t, "it ends", func() bool { return u.store.RolloutState("llm") != "running" })
+// The roll-out of a good version is completed. From then on the old servers receive nothing
+// from any router, including one that starts afterwards, and no request has run twice.
+func TestGoodVersionIsRolledOut(t *testing.T) {
+	u := newRolloutFleet(t, 70, 3, time.Millisecond, nil)
+	u.sendLoad(8)
+	u.startRollout()
+	edgetest.Until(t, "the roll-out is running", func() bool { return u.store.RolloutState("llm") == "running" })
+	edgetest.Until(t, "the roll-out ends", func() bool { return u.store.RolloutState("llm") != "running" })
 	r, _ := u.members[0].node.state.Rollout("llm")
 	assert.Equal(t, u.store.RolloutState("llm"), "completed", "%s", r.Reason)
-	old := arrived(u.servers)
-	late := u.start("127.0.70.9", u.members...)
+	oldRuns := totalRuns(u.servers)
+	newcomer := u.start("127.0.70.9", u.members...)
 	for range 50 {
-		assert.Equal(t, late.send("/o/x", "late", ""), http.StatusOK)
+		assert.Equal(t, newcomer.send("/o/x", "late", ""), http.StatusOK)
 	}
-	u.end()
-	assert.Equal(t, arrived(u.servers), old)
+	u.stopLoad()
+	assert.Equal(t, totalRuns(u.servers), oldRuns)
 	seen := map[string]bool{}
-	for _, s := range append(u.servers, u.fresh...) {
+	for _, s := range append(u.servers, u.newServers...) {
 		for _, r := range s.Runs() {
 			assert.Assert(t, !seen[r.Attempt], "%s ran twice", r.Attempt)
 			seen[r.Attempt] = true
@@ -115,27 +116,27 @@
 	}
 }
 
-// A bad version is rolled back: it gets a tenth of the requests at most and 50 beside, fewer than 50
-// of them fail before it gets none any more, and it gets none from a router that starts later.
-func TestABadVersionIsRolledBack(t *testing.T) {
+// A bad version is rolled back. It gets at most a tenth of the requests plus 50 until then,
+// and nothing from a router that starts later.
+func TestBadVersionIsRolledBack(t *testing.T) {
 	for name, c := range map[string]struct {
 		gap   time.Duration
-		wrong func(string) platformtest.Fault
+		fault func(string) platformtest.Fault
 	}{
-		"it fails": {time.Millisecond, func(attempt string) platformtest.Fault {
+		"failing": {time.Millisecond, func(attempt string) platformtest.Fault {
 			if attempt[len(attempt)-1]%3 == 0 {
 				return platformtest.ServerFail
 			}
 			return platformtest.NoFault
 		}},
-		"it is slow": {60 * time.Millisecond, nil},
+		"slow": {60 * time.Millisecond, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := newUpgrade(t, 71+len(name)%2, 3, c.gap, c.wrong)
-			u.ask(8)
-			u.order()
-			edgetest.Until(t, "it is rolled back", func() bool { return u.store.RolloutState("llm") == "rolled_back" })
-			edgetest.Until(t, "all routers know", func() bool {
+			u := newRolloutFleet(t, 71+len(name)%2, 3, c.gap, c.fault)
+			u.sendLoad(8)
+			u.startRollout()
+			edgetest.Until(t, "the version is rolled back", func() bool { return u.store.RolloutState("llm") == "rolled_back" })
+			edgetest.Until(t, "all routers know of the rollback", func() bool {
 				for _, m := range u.members {
 					if r, _ := m.node.state.Rollout("llm"); !r.Phase.Final() {
 						return false
@@ -143,17 +144,17 @@
 				}
 				return true
 			})
-			got, all := arrived(u.fresh), arrived(u.servers)
-			t.Logf("%d of %d requests", got, got+all)
-			assert.Assert(t, float64(got) <= 0.1*float64(got+all)+50, "%d of %d", got, got+all)
-			late := u.start(fmt.Sprintf("127.0.%d.9", 71+len(name)%2), u.members...)
+			newRuns, oldRuns := totalRuns(u.newServers), totalRuns(u.servers)
+			t.Logf("%d of %d requests", newRuns, newRuns+oldRuns)
+			assert.Assert(t, float64(newRuns) <= 0.1*float64(newRuns+oldRuns)+50, "%d of %d", newRuns, newRuns+oldRuns)
+			newcomer := u.start(fmt.Sprintf("127.0.%d.9", 71+len(name)%2), u.members...)
 			for range 50 {
-				late.send("/o/x", "late", "")
+				newcomer.send("/o/x", "late", "")
 			}
-			u.end()
-			running := 2 * 8 * len(u.members) // what was on its way then
-			assert.Assert(t, arrived(u.fresh) <= got+running, "%d, then %d", got, arrived(u.fresh))
-			for _, s := range u.fresh {
+			u.stopLoad()
+			inFlight := 2 * 8 * len(u.members) // in flight when they were counted
+			assert.Assert(t, totalRuns(u.newServers) <= newRuns+inFlight, "%d, then %d", newRuns, totalRuns(u.newServers))
+			for _, s := range u.newServers {
 				for _, r := range s.Runs() {
 					assert.Assert(t, r.Attempt[:4] != "late")
 				}
--- a/internal/edge/node/slowstart_test.go
+++ b/internal/edge/node/slowstart_test.go
@@ -12,25 +12,26 @@
 	"github.com/windscale/windscale/platform/platformtest"
 )
 
-// mostWithin is the most runs of a server in any span.
-func mostWithin(runs []platformtest.Run, span time.Duration) (most int) {
+// maxRunsWithin returns the largest number of runs that start within any interval of that
+// span.
+func maxRunsWithin(runs []platformtest.Run, span time.Duration) (maxRuns int) {
 	slices.SortFunc(runs, func(a, b platformtest.Run) int { return a.At.Compare(b.At) })
 	first := 0
 	for i, r := range runs {
 		for r.At.Sub(runs[first].At) > span {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxRuns = max(maxRuns, i-first+1)
 	}
-	return most
+	return maxRuns
 }
 
-// Four routers share the few requests a second that a cold server bears: what each of them
-// sees says nothing of what the others send there.
-func TestAColdServerGetsNoMoreThanItBears(t *testing.T) {
+// Four routers share the bound on requests per second to a cold server, although none of them
+// sees what the others send to it.
+func TestColdServerRateIsBoundedAcrossRouters(t *testing.T) {
 	const perSecond = 6
 	f := newFleet(t, 50)
-	f.prompts = 16
+	f.promptPrefixes = 16
 	config := platformtest.Config(2, []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", Attempts: 2, Resume: true, Timeout: 5 * time.Second}},
 		[]string{"llm"}, nil, map[string]string{"k": "ana"})
 	f.store.PutConfig(platformtest.SlowStart(config, 5*time.Second, perSecond))
@@ -45,21 +46,21 @@
 	cold.Warmup = 30 * time.Second
 	f.store.PutServer(cold, "ready")
 	for _, s := range f.servers[2:] {
-		f.store.RemoveServer(s.ID) // two are left, one of them cold
+		f.store.RemoveServer(s.ID) // leaves two, one of them cold
 	}
 	for _, m := range fleet {
-		edgetest.Until(t, "the list", func() bool { return m.node.state.ServerCount() == 2 })
+		edgetest.Until(t, "the server list", func() bool { return m.node.state.ServerCount() == 2 })
 	}
 	time.Sleep(300 * time.Millisecond)
 	before := len(cold.Runs())
 	var wg sync.WaitGroup
-	until := time.Now().Add(3 * time.Second)
+	deadline := time.Now().Add(3 * time.Second)
 	for range 4 {
 		for _, m := range fleet {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				for time.Now().Before(until) {
+				for time.Now().Before(deadline) {
 					m.send("/s/x", "c", "")
 				}
 			}()
@@ -67,7 +68,7 @@
 	}
 	wg.Wait()
 	runs := cold.Runs()[before:]
-	most := mostWithin(runs, time.Second)
-	t.Logf("%d runs, at most %d in a second", len(runs), most)
-	assert.Assert(t, most <= perSecond, "%d in a second", most)
+	maxRuns := maxRunsWithin(runs, time.Second)
+	t.Logf("%d runs, at most %d in a second", len(runs), maxRuns)
+	assert.Assert(t, maxRuns <= perSecond, "%d in a second", maxRuns)
 }
--- a/internal/edge/node/stop.go
+++ b/internal/edge/node/stop.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// settingsEvery is how often the settings file is looked at: it may change
-	// without a signal.
-	settingsEvery = time.Second
-	// acceptFor is how long a stopping router still takes requests: the balancer
-	// asks once a second and takes it out after two misses.
-	acceptFor = 3 * time.Second
-	// stopMargin is left between the end of the drain and the platform's kill.
-	stopMargin = 400 * time.Millisecond
+	// settingsPollInterval is how often the settings file is checked for changes: it may
+	// change without a signal.
+	settingsPollInterval = time.Second
+	// drainAcceptPeriod is how long a stopping router still accepts requests: the load
+	// balancer checks readiness once a second and removes a router after two failed checks.
+	drainAcceptPeriod = 3 * time.Second
+	// shutdownMargin is the time between the end of the drain and the moment at which the
+	// platform kills the process.
+	shutdownMargin = 400 * time.Millisecond
 )
 
-// reload reads the settings file again at a signal and when it has changed.
-func (n *Node) reload(ctx context.Context, hup <-chan os.Signal) error {
-	t := time.NewTicker(settingsEvery)
+// watchSettings reloads the settings file on a signal and when the file has changed.
+func (n *Node) watchSettings(ctx context.Context, hup <-chan os.Signal) error {
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
-	last := modified(n.path)
+	lastModified := modTime(n.settingsPath)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-hup:
-			last = modified(n.path)
-			n.reread("signal")
+			lastModified = modTime(n.settingsPath)
+			n.reloadSettings("signal")
 		case <-t.C:
-			if m := modified(n.path); m != last {
-				last = m
-				n.reread("file changed")
+			if m := modTime(n.settingsPath); m != lastModified {
+				lastModified = m
+				n.reloadSettings("file changed")
 			}
 		}
 	}
 }
 
-// modified is when the file was last written; zero if that can't be told, and
-// then reading it tells why.
-func modified(path string) time.Time {
+// modTime returns when the file was last modified; zero if that is unknown. Loading the file
+// then reports why.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -52,44 +53,44 @@
 	return info.ModTime()
 }
 
-// reread takes over what may change while the process runs.
-func (n *Node) reread(why string) {
-	s, err := settings.Load(n.path)
+// reloadSettings applies those settings that may change while the process runs.
+func (n *Node) reloadSettings(trigger string) {
+	s, err := settings.Load(n.settingsPath)
 	if err != nil {
-		events.ReloadRefused.Log(context.Background(), n.log, slog.LevelError, "why", why, "err", err)
+		events.ReloadRefused.Log(context.Background(), n.log, slog.LevelError, "why", trigger, "err", err)
 		return
 	}
 	n.level.Set(s.LogLevel)
 	n.peers.Add(true, s.Seeds...)
 	n.state.SetRetries(s.RetryRatio, s.RetrySlack)
-	events.ReloadDone.Log(context.Background(), n.log, slog.LevelInfo, "why", why)
+	events.ReloadDone.Log(context.Background(), n.log, slog.LevelInfo, "why", trigger)
 }
 
-// stop waits for the signal to stop and drains.
-func (n *Node) stop(ctx context.Context, term <-chan os.Signal) error {
+// drainOnSignal waits for the stop signal and drains the router.
+func (n *Node) drainOnSignal(ctx context.Context, term <-chan os.Signal) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-term:
 	}
-	begin := time.Now()
+	start := time.Now()
 	n.draining.Store(true)
 	n.handler.Drain()
 	events.DrainStarted.Log(ctx, n.log, slog.LevelInfo, "running", n.handler.Running())
-	if !wait(ctx, acceptFor) {
+	if !sleep(ctx, drainAcceptPeriod) {
 		return ctx.Err()
 	}
 	n.handler.Refuse()
-	shut, cancel := context.WithDeadline(ctx, begin.Add(n.settings.Grace-stopMargin))
+	shutdownCtx, cancel := context.WithDeadline(ctx, start.Add(n.settings.Grace-shutdownMargin))
 	defer cancel()
 	// Shutdown closes the listener and idle connections and waits for the rest.
-	err := n.callers.Shutdown(shut)
-	events.DrainEnded.Log(ctx, n.log, slog.LevelInfo, "cut", n.handler.Running(), "tookMs", time.Since(begin).Milliseconds(), "err", err)
+	err := n.callerServer.Shutdown(shutdownCtx)
+	events.DrainEnded.Log(ctx, n.log, slog.LevelInfo, "cut", n.handler.Running(), "tookMs", time.Since(start).Milliseconds(), "err", err)
 	return nil
 }
 
-// wait waits for d and reports whether ctx still lasts.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether ctx has not ended meanwhile.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
