--- a/internal/claims/sweeper.go
+++ b/internal/claims/sweeper.go
@@ -75,7 +75,7 @@
 // Run sweeps until ctx ends. It is one actor of the router's run group and
 // returns nil.
 func (s *Sweeper) Run(ctx context.Context) error {
-	wait := pause.Around(sweepIdle) // routers that start together do not ask together
+	wait := pause.Jitter(sweepIdle) // routers that start together do not ask together
 	for pause.For(ctx, wait) {
 		wait = s.step(ctx)
 	}
@@ -92,7 +92,7 @@
 	case len(ask.Commit) > 0:
 		err = s.commit(ctx, ask.Commit)
 	default:
-		return pause.Around(sweepIdle)
+		return pause.Jitter(sweepIdle)
 	}
 	return s.settle(ctx, err)
 }
@@ -172,5 +172,5 @@
 		s.failing = true
 		events.ClaimSweepFailed.Log(ctx, s.log, slog.LevelWarn, "cause", err)
 	}
-	return pause.Around(sweepPause)
+	return pause.Jitter(sweepPause)
 }
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,6 +1,6 @@
-// Package dial opens TCP connections that notice when the other side goes silent. A
-// connection may go silent for good without a reset while new ones work: only an
-// unanswered probe or unacknowledged bytes tell.
+// Package dial opens TCP connections that detect a silent peer. A connection may go silent for
+// good without a reset while new ones work; only an unanswered keep-alive probe or
+// unacknowledged data reveals that.
 package dial
 
 import (
@@ -10,18 +10,18 @@
 )
 
 const (
-	// unackedTimeout is how long sent bytes, probes among them, may stay
-	// unacknowledged before the connection counts as dead: data centres are a few
-	// milliseconds apart.
+	// unackedTimeout is how long sent data, including probes, may stay unacknowledged before
+	// the connection counts as dead. Data centres are a few milliseconds apart.
 	unackedTimeout = 800 * time.Millisecond
-	// keepAliveIdle and keepAliveInterval are when a quiet connection is probed; the
-	// system counts in whole seconds.
+	// keepAliveIdle and keepAliveInterval set when an idle connection is probed. The kernel
+	// accepts whole seconds only.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// Dialer returns a dialer that gives up after timeout.
+// Dialer returns a dialer that gives up after timeout and whose connections detect a silent
+// peer.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
@@ -35,17 +35,18 @@
 	}
 }
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 18
 
-// setUnackedTimeout bounds how long a dead peer is waited for.
+// setUnackedTimeout sets the time after which the kernel closes a connection whose data is not
+// acknowledged.
 func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
+		sockErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A connection that goes silent is noticed by the system: after what was sent is not
-// acknowledged, or when a probe of a quiet connection is not.
-func TestConnectionsNoticeSilence(t *testing.T) {
+// The kernel detects a silent connection by unacknowledged data, or by unanswered keep-alive
+// probes if the connection is idle.
+func TestDialerEnablesDeadPeerDetection(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = ln.Close() }()
@@ -20,14 +20,14 @@
 	defer func() { _ = c.Close() }()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	assert.NilError(t, err)
-	get := func(level, option int) (value int) {
+	sockopt := func(level, option int) (value int) {
 		assert.NilError(t, raw.Control(func(fd uintptr) {
 			value, err = syscall.GetsockoptInt(int(fd), level, option)
 		}))
 		assert.NilError(t, err)
 		return value
 	}
-	assert.Equal(t, get(syscall.IPPROTO_TCP, tcpUserTimeout), int(unackedTimeout.Milliseconds()))
-	assert.Equal(t, get(syscall.SOL_SOCKET, syscall.SO_KEEPALIVE), 1)
-	assert.Equal(t, get(syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE), 1)
+	assert.Equal(t, sockopt(syscall.IPPROTO_TCP, tcpUserTimeout), int(unackedTimeout.Milliseconds()))
+	assert.Equal(t, sockopt(syscall.SOL_SOCKET, syscall.SO_KEEPALIVE), 1)
+	assert.Equal(t, sockopt(syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE), 1)
 }
--- a/internal/edge/front/answer.go
+++ b/internal/edge/front/answer.go
@@ -34,7 +34,7 @@
 
 // readUpTo reads at most limit bytes of the body and reports whether that was
 // all of it.
-func readUpTo(a *upstream.Answer, limit int64) ([]byte, bool) {
+func readUpTo(a *upstream.Response, limit int64) ([]byte, bool) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, limit))
 	if err != nil {
 		return body, false
@@ -48,7 +48,7 @@
 }
 
 // plain passes on an answer that is no stream.
-func (x *exchange) plain(a *upstream.Answer) verdict {
+func (x *exchange) plain(a *upstream.Response) verdict {
 	q := x.q
 	first := make([]byte, 0, max(min(a.Length, wholeBody), 0)+1)
 	body, err := readWhole(a.Body, first)
@@ -77,7 +77,7 @@
 			return x.broken(err)
 		}
 	}
-	a.Done()
+	a.Finish()
 	x.end(judge(a.Status), "status "+strconv.Itoa(a.Status))
 	x.answeredLine(a.Status, len(body))
 	return done
@@ -115,7 +115,7 @@
 }
 
 // header sends the answer's status and headers to the caller.
-func (x *exchange) header(a *upstream.Answer, length int64, whole bool) {
+func (x *exchange) header(a *upstream.Response, length int64, whole bool) {
 	q := x.q
 	q.started = true
 	header := q.w.Header()
@@ -132,9 +132,9 @@
 }
 
 // stream passes events on as they come.
-func (x *exchange) stream(a *upstream.Answer) verdict {
+func (x *exchange) stream(a *upstream.Response) verdict {
 	q := x.q
-	events := upstream.NewEvents(a.Body)
+	events := upstream.NewEventReader(a.Body)
 	control := http.NewResponseController(q.w)
 	count := 0
 	for {
@@ -200,11 +200,11 @@
 func gap(r *routing.Route) time.Duration { return max(leastGap, gapX*r.GapTarget) }
 
 // streamDone ends a stream whose server ended it.
-func (x *exchange) streamDone(a *upstream.Answer, count int) verdict {
+func (x *exchange) streamDone(a *upstream.Response, count int) verdict {
 	if !x.q.started {
 		x.header(a, 0, false)
 	}
-	a.Done()
+	a.Finish()
 	x.placed.Events = count
 	x.end(pick.Succeeded, "")
 	x.answeredLine(a.Status, count)
--- a/internal/edge/front/caller.go
+++ b/internal/edge/front/caller.go
@@ -25,7 +25,7 @@
 // behind it together, and would send the request on before it knows.
 func (q *request) hasLeft() bool {
 	c, ok := q.r.Context().Value(connKey{}).(syscall.Conn)
-	return ok && peek.At(c) == peek.Ended
+	return ok && peek.Check(c) == peek.Closed
 }
 
 // lookAgain is the age from which a request's caller is looked at once more just before
--- a/internal/edge/front/crash_internal_test.go
+++ b/internal/edge/front/crash_internal_test.go
@@ -18,7 +18,7 @@
 		want bool
 	}{
 		{&upstream.Error{Stage: upstream.StageSend, Sent: true, Err: io.EOF}, true},
-		{&upstream.Error{Stage: upstream.StageSend, Sent: true, Kept: true, Err: io.EOF}, false},
+		{&upstream.Error{Stage: upstream.StageSend, Sent: true, Reused: true, Err: io.EOF}, false},
 		{&upstream.Error{Stage: upstream.StageSend, Sent: true, Err: syscall.ECONNRESET}, false},
 		{io.EOF, false},
 	} {
--- a/internal/edge/front/earlyrejection.go
+++ b/internal/edge/front/earlyrejection.go
@@ -53,7 +53,7 @@
 // time, or no room, for it. Otherwise it returns what it has read, for who serves the
 // connection. full says that there is no room for the connection.
 func (s *EarlyRejecter) Reject(c Arrival, full bool) (read []byte, verdict Verdict) {
-	n, err := c.ReadArrived(s.buf)
+	n, err := c.ReadAvailable(s.buf)
 	if err != nil {
 		return nil, Rejected
 	}
--- a/internal/edge/front/earlyrejection_bench_test.go
+++ b/internal/edge/front/earlyrejection_bench_test.go
@@ -21,8 +21,8 @@
 // inMemory is a connection on which a request has arrived.
 type inMemory struct{ text string }
 
-func (m inMemory) ReadArrived(b []byte) (int, error) { return copy(b, m.text), nil }
-func (m inMemory) Write(b []byte) (int, error)       { return len(b), nil }
+func (m inMemory) ReadAvailable(b []byte) (int, error) { return copy(b, m.text), nil }
+func (m inMemory) Write(b []byte) (int, error)         { return len(b), nil }
 
 // BenchmarkEarlyRejection is what a refusal by who accepts connections costs beside its system
 // calls: a request of 9 KB.
--- a/internal/edge/front/earlyrejection_test.go
+++ b/internal/edge/front/earlyrejection_test.go
@@ -21,7 +21,7 @@
 // arrived is a connection that can be read without a wait.
 type arrived struct{ net.Conn }
 
-func (a arrived) ReadArrived(b []byte) (int, error) { return peek.Arrived(a.Conn, b) }
+func (a arrived) ReadAvailable(b []byte) (int, error) { return peek.ReadAvailable(a.Conn, b) }
 
 // rejected opens a connection on which the text has arrived, and returns what the rejecter
 // says of it, with both ends.
@@ -143,7 +143,7 @@
 	c, err := ln.Accept()
 	assert.NilError(t, err)
 	assert.NilError(t, caller.Close())
-	edgetest.Until(t, "the close has not arrived", func() bool { return peek.At(c.(syscall.Conn)) == peek.Ended })
+	edgetest.Until(t, "the close has not arrived", func() bool { return peek.Check(c.(syscall.Conn)) == peek.Closed })
 	_, verdict := r.handler.NewEarlyRejecter().Reject(arrived{c}, false)
 	assert.Equal(t, verdict, front.Rejected)
 }
--- a/internal/edge/front/exchange.go
+++ b/internal/edge/front/exchange.go
@@ -55,7 +55,7 @@
 		return
 	}
 	x.late.set()
-	q.h.Pool.Doubt(x.server.Identity(), x.began)
+	q.h.Pool.CloseIdleSince(x.server.Identity(), x.began)
 	q.h.believed(x.server, q.h.State.Late(x.job), "silent", q.ask.Attempt)
 	if leave && q.h.State.TakeRetry(q.service) {
 		x.paid.set()
@@ -90,9 +90,9 @@
 	}
 	outcome := pick.Failed
 	switch {
-	case errors.Is(err, upstream.ErrFull):
+	case errors.Is(err, upstream.ErrConnLimit):
 		outcome = pick.Full
-	case errors.Is(err, upstream.ErrLeft):
+	case errors.Is(err, upstream.ErrServerLeaving):
 		outcome = pick.Abandoned
 	case err.Stage == upstream.StageDial && !errors.Is(err, upstream.ErrCancelled) && !q.h.overloaded():
 		outcome = pick.ConnectFailed
@@ -100,7 +100,7 @@
 	x.end(outcome, err.Error())
 	x.ended(err.Sent, err)
 	q.h.Meter.Failed(q.service, err.Stage.String())
-	x.brokenLine("stage", err.Stage.String(), "sent", err.Sent, "kept", err.Kept, "err", err.Err)
+	x.brokenLine("stage", err.Stage.String(), "sent", err.Sent, "kept", err.Reused, "err", err.Err)
 	return again
 }
 
@@ -153,7 +153,7 @@
 }
 
 // answered judges an answer by its status and passes it on if it is the last.
-func (x *exchange) answered(a *upstream.Answer) verdict {
+func (x *exchange) answered(a *upstream.Response) verdict {
 	q := x.q
 	x.recordNotice(a)
 	x.placed.Status = a.Status
@@ -173,11 +173,11 @@
 }
 
 // refused takes a server's answer that it has not run the request.
-func (x *exchange) refused(a *upstream.Answer, other bool) verdict {
+func (x *exchange) refused(a *upstream.Response, other bool) verdict {
 	q := x.q
 	q.sent++
 	if _, whole := readUpTo(a, refusalBody); whole {
-		a.Done()
+		a.Finish()
 	} else {
 		a.Close()
 	}
@@ -193,7 +193,7 @@
 
 // serverFailed handles a failure that the server answered: it is passed on if
 // no other server may be asked.
-func (x *exchange) serverFailed(a *upstream.Answer) verdict {
+func (x *exchange) serverFailed(a *upstream.Response) verdict {
 	q := x.q
 	if q.started || q.mayRetry() {
 		a.Close()
@@ -205,6 +205,6 @@
 }
 
 // isStream reports whether the answer is a series of events.
-func isStream(a *upstream.Answer) bool {
+func isStream(a *upstream.Response) bool {
 	return a.Status == http.StatusOK && strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream")
 }
--- a/internal/edge/front/notice.go
+++ b/internal/edge/front/notice.go
@@ -9,7 +9,7 @@
 
 // recordNotice records, logs and counts what the answer announces about its server. It runs
 // before the answer is handled, so that the state is up to date when a retry is placed.
-func (x *exchange) recordNotice(a *upstream.Answer) {
+func (x *exchange) recordNotice(a *upstream.Response) {
 	q := x.q
 	n, err := q.h.Headers.Notice(a.Status, a.Header)
 	if err != nil && q.h.State.ServerNoticeMalformed(x.server.Identity()) {
--- a/internal/edge/front/poison.go
+++ b/internal/edge/front/poison.go
@@ -72,7 +72,7 @@
 // connection in order. On one that is down, or of which the kernel takes connections still, it is reset.
 func accepted(err error) bool {
 	var failed *upstream.Error
-	return errors.As(err, &failed) && !failed.Kept && errors.Is(err, io.EOF)
+	return errors.As(err, &failed) && !failed.Reused && errors.Is(err, io.EOF)
 }
 
 // connectionEnded reports whether the server's side ended the connection, or fell silent
--- a/internal/edge/front/run.go
+++ b/internal/edge/front/run.go
@@ -190,17 +190,17 @@
 		FetchFrom:   p.Choice.FetchFrom,
 	})
 	return upstream.Call{
-		Server:   p.Choice.Server.Identity(),
-		Addr:     p.Choice.Server.Addr,
-		MaxConns: p.Conns,
-		Once:     !q.route.Repeatable(),
-		Method:   q.r.Method,
-		Target:   target(q.r),
-		Host:     q.r.Host,
-		Header:   q.header,
-		Body:     q.body,
-		Own:      q.own,
-		Takes:    func() bool { return q.h.State.MaySend(&p) && !q.leftMeanwhile() },
+		Server:     p.Choice.Server.Identity(),
+		Addr:       p.Choice.Server.Addr,
+		MaxConns:   p.Conns,
+		AtMostOnce: !q.route.Repeatable(),
+		Method:     q.r.Method,
+		Target:     target(q.r),
+		Host:       q.r.Host,
+		Header:     q.header,
+		Body:       q.body,
+		Matches:    q.own,
+		Accepts:    func() bool { return q.h.State.MaySend(&p) && !q.leftMeanwhile() },
 	}
 }
 
--- a/internal/edge/node/fdconn.go
+++ b/internal/edge/node/fdconn.go
@@ -24,8 +24,8 @@
 // runtimeConn is an acceptedConn that the Go runtime has already made a net.Conn of.
 type runtimeConn struct{ net.Conn }
 
-func (c runtimeConn) ReadArrived(b []byte) (int, error) { return peek.Arrived(c.Conn, b) }
-func (c runtimeConn) Open() (net.Conn, error)           { return c.Conn, nil }
+func (c runtimeConn) ReadAvailable(b []byte) (int, error) { return peek.ReadAvailable(c.Conn, b) }
+func (c runtimeConn) Open() (net.Conn, error)             { return c.Conn, nil }
 
 // fdConn is an acceptedConn that consists of a descriptor only. A net.Conn costs nine system
 // calls from accept to close, besides reads and writes; they made up most of the 75 us of a
@@ -47,10 +47,10 @@
 	return &fdConn{fd}
 }
 
-// ReadArrived implements acceptedConn.
-func (c *fdConn) ReadArrived(p []byte) (int, error) {
+// ReadAvailable implements acceptedConn.
+func (c *fdConn) ReadAvailable(p []byte) (int, error) {
 	n, err := syscall.Read(c.fd, p)
-	return peek.Outcome(n, err)
+	return peek.ReadResult(n, err)
 }
 
 // Write implements acceptedConn. Answers are short and fit into an empty send buffer.
--- a/internal/edge/node/flood_test.go
+++ b/internal/edge/node/flood_test.go
@@ -325,8 +325,8 @@
 	reads, writes, closes, others atomic.Int64
 }
 
-// ReadArrived reads what has arrived: the request, or nothing if it arrives late.
-func (c *countingConn) ReadArrived(b []byte) (int, error) {
+// ReadAvailable reads what has arrived: the request, or nothing if it arrives late.
+func (c *countingConn) ReadAvailable(b []byte) (int, error) {
 	if c.arrivesLate {
 		return 0, nil
 	}
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -52,11 +52,11 @@
 	// registryPollInterval is how often a router that hears no other router reads the list of
 	// routers in the store.
 	registryPollInterval = 5 * time.Second
-	// registryInitialDelay is the minimum delay, and half of the maximum, between the request
-	// for the first view and the first look at the registry. By then live seeds have answered,
-	// and a router of a large fleet need not be found through the store. When all 295 routers
-	// wrote their rows at the first start of the fleet, that kept the store busy for two
-	// seconds.
+	// registryInitialDelay is the minimum delay, and half of the maximum, between the attempt
+	// to fetch a first view and the first look at the registry. By then live seeds have
+	// answered, and a router of a large fleet need not be found through the store. When all
+	// 295 routers wrote their rows at the first start of the fleet, that kept the store busy
+	// for two seconds.
 	registryInitialDelay = 300 * time.Millisecond
 )
 
@@ -280,7 +280,7 @@
 			n.logNoLongerLeaving(ctx)
 			if now.Sub(lastSweep) > idleSweepInterval {
 				lastSweep = now
-				n.pool.Retire(n.state.Known)
+				n.pool.Prune(n.state.Known)
 			}
 			refusals.logIfDue(ctx, n, now)
 			if r := n.ready(); r != ready {
--- a/internal/edge/node/pending.go
+++ b/internal/edge/node/pending.go
@@ -43,8 +43,8 @@
 
 // closePending closes the pending connections after the listener has ended.
 func (l *connLimiter) closePending() {
-	for _, w := range l.pending {
-		_ = w.Close() // nothing was read from it
+	for _, c := range l.pending {
+		_ = c.Close() // nothing was read from it
 	}
 	l.pending = nil
 }
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -1,5 +1,4 @@
-// Package hop tells the headers of one connection from those of a message
-// (RFC 9110, 7.6.1).
+// Package hop separates hop-by-hop headers from end-to-end headers (RFC 9110, section 7.6.1).
 package hop
 
 import (
@@ -9,28 +8,28 @@
 	"strings"
 )
 
-// Headers are the headers of one connection, whatever Connection names.
+// Headers are the headers that are hop-by-hop even if Connection doesn't list them.
 var Headers = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd copies the headers of the message: without those of one connection,
-// those that Connection names, and those of other names given.
-func EndToEnd(h http.Header, without ...string) http.Header {
-	clean := make(http.Header, len(h)+4)
-	dropped := append(named(h), without...)
+// EndToEnd copies the end-to-end headers: all except those in Headers, those that Connection
+// lists, and the excluded ones.
+func EndToEnd(h http.Header, exclude ...string) http.Header {
+	kept := make(http.Header, len(h)+4)
+	excluded := append(connectionOptions(h), exclude...)
 	for name, values := range h {
-		if slices.Contains(Headers, name) || slices.Contains(dropped, name) {
+		if slices.Contains(Headers, name) || slices.Contains(excluded, name) {
 			continue
 		}
-		clean[name] = slices.Clip(values)
+		kept[name] = slices.Clip(values)
 	}
-	return clean
+	return kept
 }
 
-// named returns the names that Connection lists.
-func named(h http.Header) []string {
+// connectionOptions returns the header names that Connection lists.
+func connectionOptions(h http.Header) []string {
 	var names []string
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOnlyTheMessagesHeadersAreCopied(t *testing.T) {
+func TestEndToEndDropsConnectionHeaders(t *testing.T) {
 	h := http.Header{
 		"Connection": {"close, x-mine", " X-Other "},
 		"X-Mine":     {"1"},
@@ -16,8 +16,8 @@
 		"Host":       {"h"},
 		"X-Kept":     {"3", "4"},
 	}
-	clean := EndToEnd(h, "Host")
-	assert.DeepEqual(t, clean, http.Header{"X-Kept": {"3", "4"}})
-	clean.Add("X-Kept", "5")
+	kept := EndToEnd(h, "Host")
+	assert.DeepEqual(t, kept, http.Header{"X-Kept": {"3", "4"}})
+	kept.Add("X-Kept", "5")
 	assert.Equal(t, len(h["X-Kept"]), 2)
 }
--- a/internal/hosts/hosts.go
+++ b/internal/hosts/hosts.go
@@ -99,7 +99,7 @@
 			events.HostListBack.Log(ctx, f.log, slog.LevelInfo)
 		}
 		down = err != nil
-		if !pause.For(ctx, pause.Around(Interval)) {
+		if !pause.For(ctx, pause.Jitter(Interval)) {
 			return nil
 		}
 	}
--- a/internal/logpipe/logpipe.go
+++ b/internal/logpipe/logpipe.go
@@ -1,6 +1,6 @@
-// Package logpipe writes log lines to an output that may be slow or stuck
-// without ever holding up who logs: lines wait in a bounded queue, and what
-// does not fit or is above the rate is dropped, counted and told.
+// Package logpipe writes log lines to an output that may be slow or blocked without ever
+// blocking the goroutine that logs. Lines wait in a bounded queue; lines that don't fit or
+// exceed the rate limit are dropped, counted and reported.
 package logpipe
 
 import (
@@ -16,67 +16,67 @@
 )
 
 const (
-	// queueLines bounds the lines that wait to be written.
-	queueLines = 512
-	// linesPerSecond and linesAtOnce bound what is written: at most 200 lines a
-	// second and process (issue 11).
+	// maxQueuedLines bounds the lines that wait to be written.
+	maxQueuedLines = 512
+	// linesPerSecond and lineBurst bound what is written: at most 200 lines per second and
+	// process (issue 11).
 	linesPerSecond = 200
-	linesAtOnce    = 400
-	// tellEvery is how often dropped lines are told.
-	tellEvery = time.Second
+	lineBurst      = 400
+	// dropReportInterval is how often the number of dropped lines is logged.
+	dropReportInterval = time.Second
 )
 
 // Pipe is an io.Writer that never blocks. Each Write is one line.
 type Pipe struct {
-	out     io.Writer
-	queue   chan []byte
-	limit   *rate.Limiter
-	dropped atomic.Int64
-	total   atomic.Int64
+	out          io.Writer
+	queue        chan []byte
+	limit        *rate.Limiter
+	unreported   atomic.Int64 // lines dropped since the last report
+	droppedTotal atomic.Int64 // lines dropped or failed to be written since the start
 }
 
-// New returns a pipe to out. Run must be running for lines to be written.
+// New returns a pipe to out. Lines are written while Run is running.
 func New(out io.Writer) *Pipe {
 	return &Pipe{
 		out:   out,
-		queue: make(chan []byte, queueLines),
-		limit: rate.NewLimiter(linesPerSecond, linesAtOnce),
+		queue: make(chan []byte, maxQueuedLines),
+		limit: rate.NewLimiter(linesPerSecond, lineBurst),
 	}
 }
 
-// Write implements io.Writer. It takes the line or drops it.
+// Write implements io.Writer. It queues the line or drops it.
 func (p *Pipe) Write(line []byte) (int, error) {
 	if !p.limit.Allow() {
-		p.drop()
+		p.countDropped()
 		return len(line), nil
 	}
-	own := append([]byte(nil), line...)
+	queued := append([]byte(nil), line...)
 	select {
-	case p.queue <- own:
+	case p.queue <- queued:
 	default:
-		p.drop()
+		p.countDropped()
 	}
 	return len(line), nil
 }
 
-func (p *Pipe) drop() {
-	p.dropped.Add(1)
-	p.total.Add(1)
+func (p *Pipe) countDropped() {
+	p.unreported.Add(1)
+	p.droppedTotal.Add(1)
 }
 
-// Dropped returns how many lines were dropped since the start.
-func (p *Pipe) Dropped() int64 { return p.total.Load() }
+// Dropped returns how many lines were lost since the start.
+func (p *Pipe) Dropped() int64 { return p.droppedTotal.Load() }
 
-// Run writes lines until ctx ends, and then those that wait.
+// Run writes lines until ctx ends, and then the lines that are still queued.
 func (p *Pipe) Run(ctx context.Context, log *slog.Logger) error {
-	tell := time.NewTicker(tellEvery)
-	defer tell.Stop()
+	report := time.NewTicker(dropReportInterval)
+	defer report.Stop()
 	for {
 		select {
 		case line := <-p.queue:
-			p.put(line)
-		case <-tell.C:
-			if n := p.dropped.Swap(0); n > 0 {
+			p.writeLine(line)
+		case <-report.C:
+			if n := p.unreported.Swap(0); n > 0 {
 				events.LogDropped.Log(ctx, log, slog.LevelWarn, "lines", n)
 			}
 		case <-ctx.Done():
@@ -86,22 +86,21 @@
 	}
 }
 
-// flush writes what waits.
+// flush writes the queued lines.
 func (p *Pipe) flush() {
 	for {
 		select {
 		case line := <-p.queue:
-			p.put(line)
+			p.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// put writes one line. A line that can't be written is counted: there is
-// nowhere else to tell it.
-func (p *Pipe) put(line []byte) {
+// writeLine writes one line. A failure is only counted: there is nowhere else to report it.
+func (p *Pipe) writeLine(line []byte) {
 	if _, err := p.out.Write(line); err != nil {
-		p.total.Add(1)
+		p.droppedTotal.Add(1)
 	}
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits.
+// Package pause provides sleeping that ends with a context, and jittered durations.
 package pause
 
 import (
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Around returns a random time from half of d to one and a half, d on average,
-// so that processes that begin together do not go on together. d is above 0.
-func Around(d time.Duration) time.Duration { return d/2 + rand.N(d) }
+// Jitter returns a random duration between half of d and one and a half times d, d on average,
+// so that processes that start together don't act in step. d must be positive.
+func Jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// For waits for d or until ctx ends, and reports whether d passed. A d of 0 or
-// less has passed unless ctx has ended. Any goroutine may call it.
+// For waits for d or until ctx ends, and reports whether d passed. A d of 0 or less passes at
+// once unless ctx has ended. It is safe for concurrent use.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -1,5 +1,5 @@
-// Package peek looks at what has arrived on a connection without taking it, also
-// while another goroutine waits to read from it.
+// Package peek inspects connections without blocking: what has arrived on one can be checked
+// without consuming it, even while another goroutine is blocked reading from it.
 package peek
 
 import (
@@ -8,78 +8,78 @@
 	"syscall"
 )
 
-// Found is what has arrived.
-type Found int
+// State is the state of a connection as seen by its reader.
+type State int
 
-// What may have arrived.
+// The states of a connection.
 const (
-	Nothing Found = iota // the connection is open, and nothing is there to be read
-	Bytes                // bytes are there to be read
-	Ended                // the other side has closed or reset the connection, or it is closed here
+	Open     State = iota // open, with no data to read
+	Readable              // data is available
+	Closed                // closed or reset by the other side, or closed locally
 )
 
-// At looks at the connection. It costs one system call.
-func At(c syscall.Conn) Found {
+// Check returns the state of the connection. It costs one system call.
+func Check(c syscall.Conn) State {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	var n int
-	var failed error
-	var one [1]byte
-	// Control, unlike Read, does not wait for whoever reads from the connection.
+	var recvErr error
+	var buf [1]byte
+	// Control, unlike Read, does not wait for a goroutine that is blocked reading.
 	err = raw.Control(func(fd uintptr) {
-		n, _, failed = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, recvErr = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	switch {
 	case err != nil:
-		return Ended
+		return Closed
 	case n > 0:
-		return Bytes
-	case failed == syscall.EAGAIN || failed == syscall.EINTR:
-		return Nothing
+		return Readable
+	case recvErr == syscall.EAGAIN || recvErr == syscall.EINTR:
+		return Open
 	}
-	return Ended
+	return Closed
 }
 
-// Reader is a connection that can be read without a wait.
+// Reader is a connection that can be read without blocking.
 type Reader interface {
-	// ReadArrived reads what has arrived; nothing is no error.
-	ReadArrived(b []byte) (int, error)
+	// ReadAvailable reads what has arrived. It returns 0 and no error if there is nothing.
+	ReadAvailable(b []byte) (int, error)
 }
 
-// Arrived reads what has arrived on the connection, without a wait; nothing is no error. It
-// costs one system call.
-func Arrived(c net.Conn, b []byte) (n int, err error) {
+// ReadAvailable reads what has arrived on the connection without blocking. It returns 0 and no
+// error if there is nothing. It costs one system call.
+func ReadAvailable(c net.Conn, b []byte) (n int, err error) {
 	switch c := c.(type) {
 	case Reader:
-		return c.ReadArrived(b)
+		return c.ReadAvailable(b)
 	case syscall.Conn:
-		return arrived(c, b)
+		return readAvailable(c, b)
 	}
-	return 0, nil // it can't be known: whoever reads from it will wait
+	return 0, nil // unknown: a later blocking read will tell
 }
 
-// arrived reads from the connection's descriptor.
-func arrived(c syscall.Conn, b []byte) (n int, err error) {
+// readAvailable reads from the connection's descriptor.
+func readAvailable(c syscall.Conn, b []byte) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	var failed error
+	var readErr error
 	err = raw.Read(func(fd uintptr) bool {
-		n, failed = syscall.Read(int(fd), b)
+		n, readErr = syscall.Read(int(fd), b)
 		return true // don't wait
 	})
 	if err != nil {
 		return 0, err
 	}
-	return Outcome(n, failed)
+	return ReadResult(n, readErr)
 }
 
-// Outcome is what a read without a wait has come to: nothing there is no error, and the
-// end of what comes is io.EOF.
-func Outcome(n int, err error) (int, error) {
+// ReadResult converts the result of a non-blocking read system call: no available data is not
+// an error, and the end of the stream is io.EOF.
+func ReadResult(n int, err error) (int, error) {
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
 		return 0, nil
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -10,57 +10,57 @@
 	"gotest.tools/v3/poll"
 )
 
-// pair returns both ends of a connection.
-func pair(t *testing.T) (here, there net.Conn) {
+// connPair returns both ends of a connection.
+func connPair(t *testing.T) (local, remote net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = ln.Close() }()
-	there, err = net.Dial("tcp4", ln.Addr().String())
+	remote, err = net.Dial("tcp4", ln.Addr().String())
 	assert.NilError(t, err)
-	here, err = ln.Accept()
+	local, err = ln.Accept()
 	assert.NilError(t, err)
-	t.Cleanup(func() { _ = here.Close(); _ = there.Close() })
-	return here, there
+	t.Cleanup(func() { _ = local.Close(); _ = remote.Close() })
+	return local, remote
 }
 
-// until waits for what arrives.
-func until(t *testing.T, c net.Conn, want Found) {
+// waitForState waits until the connection is in the state.
+func waitForState(t *testing.T, c net.Conn, want State) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if got := At(c.(syscall.Conn)); got != want {
+		if got := Check(c.(syscall.Conn)); got != want {
 			return poll.Continue("%d", got)
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(10*time.Second))
 }
 
-func TestWhatHasArrivedIsSeen(t *testing.T) {
-	here, there := pair(t)
-	assert.Equal(t, At(here.(syscall.Conn)), Nothing)
+func TestCheckReportsStateWithoutReading(t *testing.T) {
+	here, there := connPair(t)
+	assert.Equal(t, Check(here.(syscall.Conn)), Open)
 	_, err := there.Write([]byte("x"))
 	assert.NilError(t, err)
-	until(t, here, Bytes)
+	waitForState(t, here, Readable)
 	var one [1]byte
 	_, err = here.Read(one[:])
-	assert.NilError(t, err, "it was not taken")
+	assert.NilError(t, err, "Check must not consume the byte")
 	assert.NilError(t, there.Close())
-	until(t, here, Ended)
+	waitForState(t, here, Closed)
 	assert.NilError(t, here.Close())
-	assert.Equal(t, At(here.(syscall.Conn)), Ended)
+	assert.Equal(t, Check(here.(syscall.Conn)), Closed)
 }
 
-// A look does not wait for a goroutine that reads.
-func TestALookDoesNotWaitForAReader(t *testing.T) {
-	here, there := pair(t)
+// Check does not wait for a goroutine that is blocked reading from the connection.
+func TestCheckDoesNotWaitForBlockedReader(t *testing.T) {
+	here, there := connPair(t)
 	read := make(chan struct{})
 	go func() {
 		var one [1]byte
 		_, _ = here.Read(one[:])
 		close(read)
 	}()
-	until(t, here, Nothing)
+	waitForState(t, here, Open)
 	assert.NilError(t, there.Close())
 	<-read
-	until(t, here, Ended)
+	waitForState(t, here, Closed)
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,19 +9,18 @@
 	"github.com/windscale/windscale/internal/peek"
 )
 
-// conn is a connection to one start of a backend server. It carries one
-// exchange at a time.
+// conn is a connection to one start of a backend server. It carries one exchange at a time.
 type conn struct {
 	net.Conn
-	br      *bufio.Reader
-	used    bool        // it has carried an exchange
-	idleAt  time.Time   // when it became idle
-	expires time.Time   // when the server may close it; zero: not told
-	spoilt  atomic.Bool // a write has failed: it can carry no other exchange
+	br          *bufio.Reader
+	reused      bool        // it has carried an exchange
+	idleSince   time.Time   // when it became idle
+	expires     time.Time   // when the server may close it; zero: not announced
+	writeFailed atomic.Bool // a write has failed, so it can't be reused
 }
 
-// quiet reports whether nothing has arrived on an idle connection: neither its
-// end nor bytes that belong to no request.
-func (c *conn) quiet() bool {
-	return c.br.Buffered() == 0 && peek.At(c.Conn.(*net.TCPConn)) == peek.Nothing
+// noInput reports whether nothing has arrived on an idle connection: neither its end nor bytes
+// that belong to no request.
+func (c *conn) noInput() bool {
+	return c.br.Buffered() == 0 && peek.Check(c.Conn.(*net.TCPConn)) == peek.Open
 }
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -7,26 +7,25 @@
 
 // The stages of an exchange.
 const (
-	StageDial   Stage = iota + 1 // no connection: no byte has left
-	StageSend                    // while the request was written or its answer awaited
-	StageAnswer                  // what came is no answer to this request
-	StageBody                    // within the answer
+	StageDial     Stage = iota + 1 // no connection was used: nothing was sent
+	StageSend                      // while sending the request or waiting for the response
+	StageResponse                  // what arrived is not a response to this request
+	StageBody                      // while reading the body of the response
 )
 
 var stageNames = map[Stage]string{
-	StageDial: "dial", StageSend: "send", StageAnswer: "answer", StageBody: "body",
+	StageDial: "dial", StageSend: "send", StageResponse: "answer", StageBody: "body",
 }
 
-// String returns the stage's name.
+// String returns the name of the stage, which appears in logs and metrics.
 func (s Stage) String() string { return stageNames[s] }
 
-// Error is why an exchange failed. Unless Sent is false, the request may have
-// run.
+// Error is a failed exchange. The server may have run the request if Sent is true.
 type Error struct {
-	Stage Stage
-	Sent  bool // a byte of the request may have left
-	Kept  bool // on a connection that had been used before
-	Err   error
+	Stage  Stage
+	Sent   bool // some bytes of the request may have been sent
+	Reused bool // the connection had carried an exchange before
+	Err    error
 }
 
 // Error implements error.
@@ -37,18 +36,18 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Fault is a cause that has no further detail.
+// Fault is an error cause without further details.
 type Fault string
 
 // Error implements error.
 func (f Fault) Error() string { return string(f) }
 
-// The faults of an exchange.
+// Causes of failed exchanges.
 const (
-	ErrForeign   Fault = "answer of another request"
-	ErrUpgrade   Fault = "server switched to another protocol unasked"
-	ErrCancelled Fault = "the exchange was cancelled"
-	ErrLeft      Fault = "the server takes no new requests any more"
-	ErrFull      Fault = "the server's connections are all in use"
-	ErrTooLarge  Fault = "the event is too large"
+	ErrResponseMismatch Fault = "answer of another request"
+	ErrUpgrade          Fault = "server switched protocols without being asked to"
+	ErrCancelled        Fault = "exchange cancelled"
+	ErrServerLeaving    Fault = "server no longer accepts new requests"
+	ErrConnLimit        Fault = "all connections to the server are in use"
+	ErrTooLarge         Fault = "event too large"
 )
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -6,39 +6,39 @@
 	"io"
 )
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 256 << 10
+// maxEventSize bounds the size of one event of a stream.
+const maxEventSize = 256 << 10
 
-// eventBuffer is the read buffer of a stream.
-const eventBuffer = 4 << 10
+// eventBufferSize is the size of the read buffer of a stream.
+const eventBufferSize = 4 << 10
 
-// Event is one whole event of a stream, as it was sent.
+// Event is one complete event of a stream, exactly as sent.
 type Event struct {
 	Raw []byte // with the empty line that ends it; valid until the next read
-	ID  string // empty: none
+	ID  string // empty if the event has none
 }
 
-// Events reads whole events out of an answer's body.
-type Events struct {
+// EventReader reads complete events from the body of a response.
+type EventReader struct {
 	r   *bufio.Reader
 	buf []byte
 }
 
-// NewEvents returns a reader of the events of r.
-func NewEvents(r io.Reader) *Events {
-	return &Events{r: bufio.NewReaderSize(r, eventBuffer)}
+// NewEventReader returns an EventReader that reads from r.
+func NewEventReader(r io.Reader) *EventReader {
+	return &EventReader{r: bufio.NewReaderSize(r, eventBufferSize)}
 }
 
-// Next returns the next event. io.EOF comes only between two events; an event
-// that is cut short is io.ErrUnexpectedEOF and is not returned.
-func (e *Events) Next() (Event, error) {
+// Next returns the next event. It returns io.EOF only between two events; for an event that is
+// cut short it returns io.ErrUnexpectedEOF.
+func (e *EventReader) Next() (Event, error) {
 	e.buf = e.buf[:0]
 	var ev Event
 	lineStart := 0
 	for {
-		piece, err := e.r.ReadSlice('\n')
-		e.buf = append(e.buf, piece...)
-		if len(e.buf) > maxEvent {
+		chunk, err := e.r.ReadSlice('\n')
+		e.buf = append(e.buf, chunk...)
+		if len(e.buf) > maxEventSize {
 			return Event{}, ErrTooLarge
 		}
 		if err == bufio.ErrBufferFull {
--- a/internal/upstream/events_test.go
+++ b/internal/upstream/events_test.go
@@ -11,9 +11,9 @@
 	"github.com/windscale/windscale/internal/upstream"
 )
 
-// Bytes that come one by one make the same events.
-func TestEventsByteByByte(t *testing.T) {
-	e := upstream.NewEvents(iotest.OneByteReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\n\n")))
+// Events that arrive byte by byte are reassembled.
+func TestEventsSplitAcrossReads(t *testing.T) {
+	e := upstream.NewEventReader(iotest.OneByteReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\n\n")))
 	ev, err := e.Next()
 	assert.NilError(t, err)
 	assert.Equal(t, string(ev.Raw), "id: 1\ndata: a\n\n")
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -15,123 +15,123 @@
 )
 
 const (
-	// maxForeign is how many answers of other requests are read over before
-	// the request's own.
-	maxForeign = 2
-	// inlineBody is the longest body that is written before the answer is
-	// awaited; it fits into a connection's window.
-	inlineBody = 2 << 10
+	// maxMismatches is how many responses to other requests are skipped before the request's
+	// own.
+	maxMismatches = 2
+	// maxInlineBody is the largest body that is written before waiting for the response. It
+	// fits into a connection's send window.
+	maxInlineBody = 2 << 10
 )
 
-// Call is one exchange.
+// Call is the request of one exchange.
 type Call struct {
-	Server   routing.Identity
-	Addr     string
-	MaxConns int // of this router to the server; 0: no bound
-	Once     bool
-	Method   string
-	Target   string // path and query as the caller sent them
-	Host     string
-	Header   http.Header
-	Body     []byte
-	// Own reports whether an answer belongs to this request, by its status and
+	Server     routing.Identity
+	Addr       string
+	MaxConns   int  // from this router to the server; 0: no limit
+	AtMostOnce bool // the request must not run twice
+	Method     string
+	Target     string // path and query as sent by the caller
+	Host       string
+	Header     http.Header
+	Body       []byte
+	// Matches reports whether a response belongs to this request, by its status and
 	// headers.
-	Own func(status int, h http.Header) bool
-	// Takes reports, just before the request is written, whether the server
-	// still takes new ones: a connection may have taken long to open.
-	Takes func() bool
+	Matches func(status int, h http.Header) bool
+	// Accepts reports, just before the request is written, whether the server still accepts
+	// new requests: opening the connection may have taken long.
+	Accepts func() bool
 }
 
-// Answer is a server's answer. It must be closed.
-type Answer struct {
+// Response is the response of a server. The caller must call Finish or Close.
+type Response struct {
 	Status int
 	Header http.Header // end-to-end headers
-	Length int64       // -1: not told
-	Kept   bool        // the connection had been used before
-	Body   io.Reader   // io.EOF only at the answer's end
+	Length int64       // -1: unknown
+	Reused bool        // the connection had carried an exchange before
+	Body   io.Reader   // returns io.EOF only at the end of the response
 
 	exchange *exchange
 	resp     *http.Response
 }
 
-// exchange is what an answer needs to end.
+// exchange holds what is needed to end an exchange.
 type exchange struct {
-	pool    *Pool
-	id      routing.Identity
-	conn    *conn
-	stop    func() bool // ends the watch over the caller's context
-	written chan struct{}
-	once    sync.Once
-	clean   bool // nothing but one complete response came
+	pool        *Pool
+	id          routing.Identity
+	conn        *conn
+	stopWatch   func() bool   // stops watching the caller's context
+	bodyWritten chan struct{} // closed when the request is written or has failed to be
+	once        sync.Once
+	noMismatch  bool // no response to another request has arrived
 }
 
-// Do sends the call and returns the answer once its header is there. ctx
-// bounds the whole exchange, the answer's body included: when it ends, the
-// connection is closed, by which the server learns of it.
-func (p *Pool) Do(ctx context.Context, call Call) (*Answer, *Error) {
-	c, err := p.get(ctx, call.Server, call.Addr, call.MaxConns, call.Once)
+// Do sends the call and returns the response as soon as its header has arrived. ctx bounds the
+// whole exchange, including the body of the response: when it ends, the connection is closed,
+// which tells the server.
+func (p *Pool) Do(ctx context.Context, call Call) (*Response, *Error) {
+	c, err := p.get(ctx, call.Server, call.Addr, call.MaxConns, call.AtMostOnce)
 	if err != nil {
 		return nil, &Error{Stage: StageDial, Err: err}
 	}
-	e := &exchange{pool: p, id: call.Server, conn: c, clean: true, written: make(chan struct{})}
-	e.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+	e := &exchange{pool: p, id: call.Server, conn: c, noMismatch: true, bodyWritten: make(chan struct{})}
+	e.stopWatch = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if err := ctx.Err(); err != nil {
-		e.end(false, 0)
+		e.finish(false, 0)
 		return nil, &Error{Stage: StageDial, Err: ErrCancelled}
 	}
-	if !call.Takes() {
-		e.end(false, 0)
-		return nil, &Error{Stage: StageDial, Err: ErrLeft}
+	if !call.Accepts() {
+		e.finish(false, 0)
+		return nil, &Error{Stage: StageDial, Err: ErrServerLeaving}
 	}
-	kept := c.used
+	reused := c.reused
 	sent, err := e.send(call)
 	if err != nil {
-		e.end(false, 0)
-		return nil, &Error{Stage: StageSend, Sent: sent, Kept: kept, Err: err}
+		e.finish(false, 0)
+		return nil, &Error{Stage: StageSend, Sent: sent, Reused: reused, Err: err}
 	}
 	resp, failure := e.receive(call)
 	if failure != nil {
-		e.end(false, 0)
-		failure.Kept = kept
+		e.finish(false, 0)
+		failure.Reused = reused
 		return nil, failure
 	}
-	return &Answer{
+	return &Response{
 		Status:   resp.StatusCode,
 		Header:   resp.Header,
 		Length:   resp.ContentLength,
-		Kept:     kept,
+		Reused:   reused,
 		Body:     resp.Body,
 		exchange: e,
 		resp:     resp,
 	}, nil
 }
 
-// send writes the request. A long body is written while the answer is awaited,
-// which may come first.
+// send writes the request. A long body is written concurrently with waiting for the response,
+// which may arrive first.
 func (e *exchange) send(call Call) (sent bool, _ error) {
-	head := head(call)
-	if len(call.Body) <= inlineBody {
-		n, err := e.conn.Write(append(head, call.Body...))
-		close(e.written)
+	header := requestHeader(call)
+	if len(call.Body) <= maxInlineBody {
+		n, err := e.conn.Write(append(header, call.Body...))
+		close(e.bodyWritten)
 		return n > 0, err
 	}
-	n, err := e.conn.Write(head)
+	n, err := e.conn.Write(header)
 	if err != nil {
-		close(e.written)
+		close(e.bodyWritten)
 		return n > 0, err
 	}
 	go func() {
-		defer close(e.written)
-		// A failure shows where the answer is read.
+		defer close(e.bodyWritten)
+		// The failure is reported by whoever reads the response.
 		if _, err := e.conn.Write(call.Body); err != nil {
-			e.conn.spoilt.Store(true)
+			e.conn.writeFailed.Store(true)
 		}
 	}()
 	return true, nil
 }
 
-// head renders the request line and headers.
-func head(call Call) []byte {
+// requestHeader encodes the request line and the headers.
+func requestHeader(call Call) []byte {
 	var b bytes.Buffer
 	b.Grow(512)
 	b.WriteString(call.Method)
@@ -157,37 +157,37 @@
 	return b.Bytes()
 }
 
-// receive reads up to the end of the header of the request's own answer.
+// receive reads the header of the response to this request.
 func (e *exchange) receive(call Call) (*http.Response, *Error) {
 	req := &http.Request{Method: call.Method}
-	for range maxForeign + 1 {
-		resp, err := e.response(req)
+	for range maxMismatches + 1 {
+		resp, err := e.readHeader(req)
 		if err != nil {
 			return nil, err
 		}
-		if call.Own(resp.StatusCode, resp.Header) {
+		if call.Matches(resp.StatusCode, resp.Header) {
 			return resp, nil
 		}
-		e.clean = false
+		e.noMismatch = false
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
-			return nil, &Error{Stage: StageAnswer, Sent: true, Err: ErrForeign}
+			return nil, &Error{Stage: StageResponse, Sent: true, Err: ErrResponseMismatch}
 		}
 	}
-	return nil, &Error{Stage: StageAnswer, Sent: true, Err: ErrForeign}
+	return nil, &Error{Stage: StageResponse, Sent: true, Err: ErrResponseMismatch}
 }
 
-// response reads one header, past those of status 1xx.
-func (e *exchange) response(req *http.Request) (*http.Response, *Error) {
+// readHeader reads the header of one response, skipping informational (1xx) ones.
+func (e *exchange) readHeader(req *http.Request) (*http.Response, *Error) {
 	for {
 		if _, err := e.conn.br.Peek(1); err != nil {
 			return nil, &Error{Stage: StageSend, Sent: true, Err: err}
 		}
 		resp, err := http.ReadResponse(e.conn.br, req)
 		if err != nil {
-			return nil, &Error{Stage: StageAnswer, Sent: true, Err: err}
+			return nil, &Error{Stage: StageResponse, Sent: true, Err: err}
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, &Error{Stage: StageAnswer, Sent: true, Err: ErrUpgrade}
+			return nil, &Error{Stage: StageResponse, Sent: true, Err: ErrUpgrade}
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
@@ -195,40 +195,40 @@
 	}
 }
 
-// Done ends an answer whose body was read to its end: the connection is kept
-// if it may be.
-func (a *Answer) Done() {
-	keep, told := keepFor(a.resp.Header)
-	e := a.exchange
-	whole := e.clean && !a.resp.Close && (!told || keep > expiryMargin)
+// Finish ends the exchange after the body was read to its end. The connection is returned to
+// the pool if it is reusable.
+func (r *Response) Finish() {
+	idleTimeout, announced := keepAliveTimeout(r.resp.Header)
+	e := r.exchange
+	reusable := e.noMismatch && !r.resp.Close && (!announced || idleTimeout > expiryMargin)
 	select {
-	case <-e.written:
-		whole = whole && !e.conn.spoilt.Load()
+	case <-e.bodyWritten:
+		reusable = reusable && !e.conn.writeFailed.Load()
 	default:
-		whole = false // answered before the body was read
+		reusable = false // the response ended before the request's body was written
 	}
-	e.end(whole, keep)
+	e.finish(reusable, idleTimeout)
 }
 
-// Close ends an answer that was not read to its end.
-func (a *Answer) Close() { a.exchange.end(false, 0) }
+// Close ends the exchange before the body was read to its end, and closes the connection.
+func (r *Response) Close() { r.exchange.finish(false, 0) }
 
-// end gives the connection back or closes it, once.
-func (e *exchange) end(whole bool, keep time.Duration) {
+// finish returns the connection to the pool or closes it, once.
+func (e *exchange) finish(reusable bool, idleTimeout time.Duration) {
 	e.once.Do(func() {
-		if !e.stop() {
-			whole = false // the caller's context has ended and closes it
+		if !e.stopWatch() {
+			reusable = false // the context has ended, which closes the connection
 		}
-		if whole {
-			e.pool.put(e.id, e.conn, keep)
+		if reusable {
+			e.pool.putIdle(e.id, e.conn, idleTimeout)
 			return
 		}
 		e.pool.discard(e.id, e.conn)
 	})
 }
 
-// keepFor reads how long the server keeps the connection without use.
-func keepFor(h http.Header) (_ time.Duration, told bool) {
+// keepAliveTimeout returns how long the server keeps an idle connection, if it announced that.
+func keepAliveTimeout(h http.Header) (_ time.Duration, announced bool) {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
@@ -241,8 +241,7 @@
 	return 0, false
 }
 
-// EndToEnd copies the headers that concern more than one connection, without
-// those that each side sets anew.
+// EndToEnd copies the end-to-end headers, without those that each side sets itself.
 func EndToEnd(h http.Header) http.Header {
 	return hop.EndToEnd(h, "Content-Length", "Host", "Expect")
 }
