--- a/internal/edge/node/fleet_test.go
+++ b/internal/edge/node/fleet_test.go
@@ -46,9 +46,9 @@
 	kill       func()
 }
 
-// fleetEngines is the number of servers in a fleet. It exceeds the number that may crash under
+// fleetServers is the number of servers in a fleet. It exceeds the number that may crash under
 // one request in the tests, so that some are left while others are down.
-const fleetEngines = 10
+const fleetServers = 10
 
 // newFleet starts the platform. Its routers listen on the loopback network 127.0.NETWORK.
 func newFleet(t testing.TB, network int) *fleet {
@@ -62,7 +62,7 @@
 		return platformtest.Route{Prefix: prefix, Kind: "streaming", Service: "llm", Attempts: 2, Resume: resume, Timeout: 5 * time.Second}
 	}
 	f.store.PutConfig(platformtest.Config(1, []platformtest.Route{route("/o/", false), route("/s/", true)}, []string{"llm"}, nil, map[string]string{"k": "ana"}))
-	for i := range fleetEngines {
+	for i := range fleetServers {
 		s, err := platformtest.NewServer(fmt.Sprintf("i-%d", i), "llm", "dc", 5, time.Millisecond)
 		assert.NilError(t, err)
 		t.Cleanup(s.Close)
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -62,7 +62,7 @@
 
 // Node is one router.
 type Node struct {
-	settingsPath    string // settings file
+	settingsPath    string
 	settings        *settings.Settings
 	level           *slog.LevelVar
 	droppedLogLines func() int64 // count since the start
--- a/internal/edge/node/notice_test.go
+++ b/internal/edge/node/notice_test.go
@@ -16,12 +16,12 @@
 func TestRouterWithoutTheStoreObservesServerNotices(t *testing.T) {
 	const network, requests = 53, 100
 	f := newFleet(t, network)
-	f.promptPrefixes = 2 * fleetEngines // spreads requests over all engines
+	f.promptPrefixes = 2 * fleetServers // spreads requests over all servers
 	first := f.start("127.0.53.1")
-	edgetest.Until(t, "the first router's server list", func() bool { return first.node.state.ServerCount() == fleetEngines })
+	edgetest.Until(t, "the first router's server list", func() bool { return first.node.state.ServerCount() == fleetServers })
 	f.store.Fail(func(*http.Request) platformtest.Trouble { return platformtest.Busy })
 	second := f.start("127.0.53.2", first)
-	edgetest.Until(t, "the second router's server list", func() bool { return second.node.state.ServerCount() == fleetEngines })
+	edgetest.Until(t, "the second router's server list", func() bool { return second.node.state.ServerCount() == fleetServers })
 
 	leaving, busy := f.servers[0], f.servers[1]
 	leaving.SetLeaving(true)
--- a/internal/edge/node/poison_test.go
+++ b/internal/edge/node/poison_test.go
@@ -141,12 +141,12 @@
 	crashes := crashOnPoison(f)
 	a := f.start("127.0.44.1")
 	for crashes.Load() < crashThreshold {
-		for range fleetEngines {
+		for range fleetServers {
 			go a.send("/s/x", "beside", "polled again and again")
 		}
 		a.send("/o/x", poisonous, "the same body")
 	}
-	for range 2 * fleetEngines {
+	for range 2 * fleetServers {
 		edgetest.Until(t, "the bystander request is served", func() bool { return a.send("/s/x", "beside", "polled again and again") == 200 })
 	}
 }
--- a/internal/edge/node/rollout_test.go
+++ b/internal/edge/node/rollout_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	u := &rolloutFleet{fleet: newFleet(t, network), stop: make(chan struct{})}
 	u.extraSettings = "[rollout]\nshare = 0.1\nslack = 50"
-	for i := range fleetEngines {
+	for i := range fleetServers {
 		s, err := platformtest.NewServer(fmt.Sprintf("n-%d", i), "llm", "dc", 5, gap)
 		assert.NilError(t, err)
 		t.Cleanup(s.Close)
--- a/internal/edge/node/storerestore_bench_test.go
+++ b/internal/edge/node/storerestore_bench_test.go
@@ -68,7 +68,7 @@
 	}
 	upToDate := 0
 	for _, m := range fleet {
-		if m.node.state.Version() == 2 && m.node.state.ServerCount() == fleetEngines-1 {
+		if m.node.state.Version() == 2 && m.node.state.ServerCount() == fleetServers-1 {
 			upToDate++
 		}
 	}
--- a/internal/edge/node/storerestore_test.go
+++ b/internal/edge/node/storerestore_test.go
@@ -29,11 +29,11 @@
 			edgetest.Until(t, what, func() bool { return cond(m) })
 		}
 	}
-	untilAll("removal of a server", func(m *member) bool { return m.node.state.ServerCount() == fleetEngines-1 })
+	untilAll("removal of a server", func(m *member) bool { return m.node.state.ServerCount() == fleetServers-1 })
 	readsBefore := f.store.Calls("/v1/rows-get")
 	f.store.SetBack(backup)
 	untilAll("the restore", func(m *member) bool { return m.node.state.Era() == 2 && m.node.state.Stamp().Era == 2 })
-	untilAll("the server list is unchanged", func(m *member) bool { return m.node.state.ServerCount() == fleetEngines-1 })
+	untilAll("the server list is unchanged", func(m *member) bool { return m.node.state.ServerCount() == fleetServers-1 })
 	f.store.RemoveServer(f.servers[0].ID)
 	added, err := platformtest.NewServer("i-fresh", "llm", "dc", 5, 0)
 	assert.NilError(t, err)
@@ -41,7 +41,7 @@
 	f.store.PutServer(added, "ready")
 	f.store.PutConfig(platformtest.Config(2, []platformtest.Route{{Prefix: "/o/", Kind: "streaming", Service: "llm", Attempts: 2}}, []string{"llm"}, nil, map[string]string{"k": "ana"}))
 	untilAll("what is written after the restore", func(m *member) bool {
-		return m.node.state.Version() == 2 && m.node.state.ServerCount() == fleetEngines
+		return m.node.state.Version() == 2 && m.node.state.ServerCount() == fleetServers
 	})
 	tableReads := f.store.Calls("/v1/rows-get") - readsBefore
 	t.Logf("%d reads", tableReads)
