--- a/internal/edge/follow/follow_test.go
+++ b/internal/edge/follow/follow_test.go
@@ -26,7 +26,7 @@
 	store  *platformtest.Store
 	state  *state.State
 	role   follow.Role
-	log    *edgetest.Lines
+	log    *edgetest.LogBuffer
 	client *platform.Store
 }
 
@@ -38,7 +38,7 @@
 // startPrepared calls prepare before the store is followed.
 func startPrepared(t *testing.T, role follow.Role, prepare func(*followed)) *followed {
 	t.Helper()
-	f := &followed{store: platformtest.NewStore(), state: state.New("dc", 0.2, 80, time.Now), role: role, log: &edgetest.Lines{}}
+	f := &followed{store: platformtest.NewStore(), state: state.New("dc", 0.2, 80, time.Now), role: role, log: &edgetest.LogBuffer{}}
 	f.store.SetEra(1) // before the store is followed: a later era would mean a restore
 	prepare(f)
 	server := httptest.NewServer(f.store)
