--- a/cmd/windscale-edge/main.go
+++ b/cmd/windscale-edge/main.go
@@ -1,7 +1,7 @@
-// Command windscale-edge is one router on the users' platform: callers come to
-// it, and it takes their requests to the backend servers.
+// Command windscale-edge runs one router on the users' platform. It accepts callers' connections and
+// forwards their requests to the backend servers.
 //
-// Exit codes: 0 a graceful end, 1 a failure while running, 2 wrong arguments
+// Exit codes: 0 after a graceful shutdown, 1 after a failure while running, 2 for invalid arguments
 // or settings.
 package main
 
@@ -28,34 +28,35 @@
 
 const program = "windscale-edge"
 
-const help = `One router on the users' platform. It reads its settings from the file that the
-platform names in the environment, or from --settings, and serves until SIGTERM,
-which ends it gracefully. SIGHUP makes it read the file again.
+const help = `Runs one router on the users' platform. The settings file is given by --settings, or
+by the environment variable that the platform sets. The router serves until SIGTERM,
+which shuts it down gracefully. SIGHUP makes it reload the settings file.
 
 Examples:
   windscale-edge --settings edge.ini --check
   windscale-edge --settings edge.ini
 
-Exit codes: 0 graceful end, 1 failure while running, 2 wrong arguments or settings.`
+Exit codes: 0 graceful shutdown, 1 failure while running, 2 invalid arguments or settings.`
 
-// memoryPart is the part of the memory limit at which the garbage collector
-// works harder.
-const memoryPart = 0.6
+// memoryLimitFraction is the fraction of the configured memory limit, above which the process is
+// killed, that is set as the Go runtime's soft memory limit. Near the soft limit the garbage collector
+// runs more often.
+const memoryLimitFraction = 0.6
 
-// collectAt is how much the heap may grow between two collections, in percent.
-const collectAt = 100
+// gcPercent is how much the heap may grow between two garbage collections, in percent (GOGC).
+const gcPercent = 100
 
-// options are the command line.
+// options are the command-line options.
 type options struct {
 	Settings string `long:"settings" short:"s" value-name:"FILE" description:"the settings file; otherwise the platform's environment names it"`
 	Check    bool   `long:"check" description:"check the settings, print every fault, and end"`
 	Version  bool   `long:"version" description:"print the version and end"`
 }
 
-func main() { os.Exit(command(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(runCommand(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// command runs the command line and returns the exit code.
-func command(args []string, out, errOut io.Writer) int {
+// runCommand parses the arguments, runs the router and returns the exit code.
+func runCommand(args []string, out, errOut io.Writer) int {
 	var o options
 	if _, err := cli.NewParser(&o, help).ParseArgs(args); err != nil {
 		return cli.Report(program, err, out, errOut)
@@ -66,7 +67,7 @@
 	}
 	path := o.Settings
 	if path == "" {
-		path = os.Getenv(platform.EnvSettings)
+		path = os.Getenv(platform.EnvSettingsFile)
 	}
 	if path == "" {
 		_, _ = fmt.Fprintln(errOut, program+": no settings file; see --help")
@@ -86,25 +87,25 @@
 
 // serve runs the router until it has drained or failed.
 func serve(path string, s *settings.Settings, out io.Writer) int {
-	debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * memoryPart))
-	debug.SetGCPercent(collectAt)
+	debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * memoryLimitFraction))
+	debug.SetGCPercent(gcPercent)
 	level := new(slog.LevelVar)
 	level.Set(s.LogLevel)
 	pipe := logpipe.New(out)
 	log := slog.New(slog.NewJSONHandler(pipe, &slog.HandlerOptions{Level: level})).With("host", s.Name)
 	ctx, cancel := context.WithCancel(context.Background())
-	written := make(chan struct{})
+	logWritten := make(chan struct{})
 	go func() {
-		defer close(written)
-		_ = pipe.Run(ctx, log) // ends with ctx
+		defer close(logWritten)
+		_ = pipe.Run(ctx, log) // returns when ctx is cancelled
 	}()
 	code := runNode(path, s, level, log, pipe)
 	cancel()
-	<-written
+	<-logWritten
 	return code
 }
 
-// runNode runs the router's actors.
+// runNode runs the router's actors until one of them ends, and returns the exit code.
 func runNode(path string, s *settings.Settings, level *slog.LevelVar, log *slog.Logger, pipe *logpipe.Pipe) int {
 	events.ProcessStarted.Log(context.Background(), log, slog.LevelInfo, "version", version.String(), "dataCentre", s.DataCentre)
 	hup := make(chan os.Signal, 1)
--- a/internal/edge/follow/crashes_test.go
+++ b/internal/edge/follow/crashes_test.go
@@ -18,18 +18,18 @@
 // the same, and knows what is blocked as soon as it can be read.
 func TestTheListDoesNotWaitForBlockedContents(t *testing.T) {
 	f := start(t, follow.Everyone)
-	f.store.Fail(func(r *http.Request) platformtest.Trouble {
+	f.store.SetFault(func(r *http.Request) platformtest.StoreFault {
 		if r.URL.Query().Get("table") == "windscale-blocked" {
-			return platformtest.Busy
+			return platformtest.StoreUnavailable
 		}
-		return platformtest.Well
+		return platformtest.StoreOK
 	})
 	f.put(3)
-	f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
+	f.store.Put("servers", "a", platformtest.ServerEntry("app", "127.0.0.1:1", "ready"))
 	edgetest.Until(t, "it serves", f.state.Ready)
 	assert.Assert(t, !f.state.KnowsCrashes())
 	told := poison.Record{Content: 7, Crashes: []poison.CrashAge{{Server: 1, Age: 2 * time.Second}, {Server: 2, Age: time.Second}, {Server: 3}}}
-	f.store.Fail(nil)
+	f.store.SetFault(nil)
 	_, _, err := f.client.WriteBlocked(context.Background(), []poison.Record{told}, nil)
 	assert.NilError(t, err)
 	edgetest.Until(t, "it knows", func() bool { return f.state.AdmitContent(7).Wait > 0 })
--- a/internal/edge/follow/era_test.go
+++ b/internal/edge/follow/era_test.go
@@ -15,13 +15,13 @@
 
 // inFirstEra follows a store in its first era, with a configuration and a server, of which a
 // copy is made.
-func inFirstEra(t *testing.T) (*followed, platformtest.StoreCopy) {
+func inFirstEra(t *testing.T) (*followed, platformtest.StoreSnapshot) {
 	t.Helper()
 	f := start(t, follow.Everyone)
 	f.put(1)
-	f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
+	f.store.Put("servers", "a", platformtest.ServerEntry("app", "127.0.0.1:1", "ready"))
 	edgetest.Until(t, "first view", func() bool { return f.state.Version() == 1 && f.listed() == 1 })
-	return f, f.store.Copy()
+	return f, f.store.Snapshot()
 }
 
 // What was seen: a store came back from a copy some seconds old, and a router saw neither a
@@ -31,13 +31,13 @@
 func TestAStoreThatComesBackOlderIsFollowed(t *testing.T) {
 	f, older := inFirstEra(t)
 	for range 41 {
-		f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
+		f.store.Put("servers", "a", platformtest.ServerEntry("app", "127.0.0.1:1", "ready"))
 	}
 	f.put(2)
 	edgetest.Until(t, "the second configuration", func() bool { return f.state.Version() == 2 })
 	reads := f.store.Calls("/v1/rows-get")
-	f.store.SetBack(older)
-	f.store.Put("servers", "b", platformtest.Entry("app", "127.0.0.1:2", "ready"))
+	f.store.Restore(older)
+	f.store.Put("servers", "b", platformtest.ServerEntry("app", "127.0.0.1:2", "ready"))
 	f.put(3)
 	edgetest.Until(t, "the new server and the newer configuration", func() bool { return f.state.Version() == 3 && f.listed() == 2 })
 	assert.Assert(t, f.store.Calls("/v1/rows-get")-reads <= 4, "each table is read once, and once more if a change comes between")
@@ -47,15 +47,15 @@
 // would go on from a version that means another change.
 func TestVersionsThatAreGivenOutAgainAreNotTakenForThoseBefore(t *testing.T) {
 	f, older := inFirstEra(t)
-	f.store.Put("servers", "gone", platformtest.Entry("app", "127.0.0.1:9", "ready"))
-	f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
+	f.store.Put("servers", "gone", platformtest.ServerEntry("app", "127.0.0.1:9", "ready"))
+	f.store.Put("servers", "a", platformtest.ServerEntry("app", "127.0.0.1:1", "ready"))
 	edgetest.Until(t, "both", func() bool { return f.listed() == 2 })
-	f.store.Fail(func(*http.Request) platformtest.Trouble { return platformtest.Reset })
-	f.store.SetBack(older)
-	f.store.Put("servers", "b", platformtest.Entry("app", "127.0.0.1:2", "ready"))
-	f.store.Put("servers", "c", platformtest.Entry("app", "127.0.0.1:3", "ready"))
-	f.store.Put("servers", "d", platformtest.Entry("app", "127.0.0.1:4", "ready"))
-	f.store.Fail(nil)
+	f.store.SetFault(func(*http.Request) platformtest.StoreFault { return platformtest.StoreReset })
+	f.store.Restore(older)
+	f.store.Put("servers", "b", platformtest.ServerEntry("app", "127.0.0.1:2", "ready"))
+	f.store.Put("servers", "c", platformtest.ServerEntry("app", "127.0.0.1:3", "ready"))
+	f.store.Put("servers", "d", platformtest.ServerEntry("app", "127.0.0.1:4", "ready"))
+	f.store.SetFault(nil)
 	edgetest.Until(t, "what was written since", func() bool {
 		list, _ := f.state.Servers()
 		names := ""
@@ -72,10 +72,10 @@
 	f := start(t, follow.Everyone)
 	f.put(1)
 	edgetest.Until(t, "first view", func() bool { return f.state.Version() == 1 })
-	older := f.store.Copy()
+	older := f.store.Snapshot()
 	f.put(2)
 	edgetest.Until(t, "the second configuration", func() bool { return f.state.Version() == 2 })
-	f.store.SetBack(older)
+	f.store.Restore(older)
 	edgetest.Until(t, "the return", func() bool { return f.state.Era() == 2 })
 	const old = 1500 * time.Millisecond // longer than a router settles after it has read a table
 	edgetest.Until(t, "the view grows old", func() bool {
@@ -96,14 +96,14 @@
 func TestTheListDoesNotGoBackWithTheStore(t *testing.T) {
 	f := start(t, follow.Everyone)
 	f.put(1)
-	entry := func(port string) []byte { return platformtest.Entry("app", "127.0.0.1:"+port, "ready") }
+	entry := func(port string) []byte { return platformtest.ServerEntry("app", "127.0.0.1:"+port, "ready") }
 	f.store.Put("servers", "left", entry("1"))
 	edgetest.Until(t, "first view", func() bool { return f.listed() == 1 })
-	older := f.store.Copy()
+	older := f.store.Snapshot()
 	f.store.Put("servers", "lives", entry("2"))
 	f.store.RemoveServer("left")
 	edgetest.Until(t, "the change", func() bool { list, _ := f.state.Servers(); return len(list) == 1 && list[0].ID == "lives" })
-	f.store.SetBack(older)
+	f.store.Restore(older)
 	edgetest.Until(t, "the return", func() bool { _, stamp := f.state.Servers(); return stamp.Era == 2 })
 	list, _ := f.state.Servers()
 	assert.Equal(t, len(list), 1)
@@ -120,10 +120,10 @@
 	f := start(t, follow.Everyone)
 	f.store.SetEra(5)
 	f.put(3)
-	f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
+	f.store.Put("servers", "a", platformtest.ServerEntry("app", "127.0.0.1:1", "ready"))
 	edgetest.Until(t, "first view", func() bool { return f.listed() == 1 })
 	f.store.SetEra(4)
-	f.store.Put("servers", "b", platformtest.Entry("app", "127.0.0.1:2", "ready"))
+	f.store.Put("servers", "b", platformtest.ServerEntry("app", "127.0.0.1:2", "ready"))
 	calls := f.store.Calls("/v1/rows-get")
 	edgetest.Until(t, "some answers", func() bool { return f.store.Calls("/v1/rows-get") > calls+2 })
 	assert.Equal(t, f.listed(), 1)
--- a/internal/edge/follow/follow.go
+++ b/internal/edge/follow/follow.go
@@ -50,7 +50,7 @@
 	FollowConfig(ctx context.Context, after roster.Stamp, wait time.Duration) (platform.Change, error)
 	ReadServers(ctx context.Context) (platform.Change, error)
 	FollowServers(ctx context.Context, after roster.Stamp, wait time.Duration) (platform.Change, error)
-	ReadBlocked(ctx context.Context) ([]poison.Record, []platform.BadRow, error)
+	ReadBlocked(ctx context.Context) ([]poison.Record, []platform.MalformedRow, error)
 	ReadRollout(ctx context.Context, service string) (platform.StoredRollout, error)
 	WriteRollout(ctx context.Context, r rollout.Record, ver uint64) (uint64, error)
 	WriteBlocked(ctx context.Context, write []poison.Record, remove []routing.ContentHash) ([]poison.Record, []routing.ContentHash, error)
@@ -138,7 +138,7 @@
 	switch {
 	case c.Config != nil:
 		f.held = c.Config.Version
-	case whole && !c.ConfigBad:
+	case whole && !c.ConfigMalformed:
 		f.held = 0
 	case whole:
 		f.held = f.State.Version() // the row is there; which version it should have is not known
@@ -146,7 +146,7 @@
 	if f.held >= f.State.Version() {
 		f.State.Confirm(age)
 	}
-	if c.Config != nil && f.State.TakeConfig(c.Config, c.Raw) {
+	if c.Config != nil && f.State.TakeConfig(c.Config, c.RawConfig) {
 		events.ConfigInForce.Log(context.Background(), f.Log, slog.LevelInfo, "version", c.Config.Version, "from", "store",
 			"routes", len(c.Config.Routes), "customers", len(c.Config.Customers))
 	}
@@ -155,28 +155,28 @@
 
 // takeEvacuations takes which data centres are evacuated, or what has changed of it.
 func (f *Follower) takeEvacuations(c platform.Change, whole bool) {
-	change := f.State.EvacuationsChanged(c.Evacuated, c.TakenBack, whole, c.At)
-	change.Log(f.Log, "store", c.At)
+	change := f.State.EvacuationsChanged(c.Evacuated, c.EndedEvacuations, whole, c.Stamp)
+	change.Log(f.Log, "store", c.Stamp)
 }
 
 // takeServers takes the list or what has changed of it.
 func (f *Follower) takeServers(c platform.Change, whole bool, _ time.Duration) bool {
 	if whole {
-		if !f.State.ServersReplaced(c.Servers, c.At, false) {
+		if !f.State.ServersReplaced(c.Servers, c.Stamp, false) {
 			return false
 		}
 	} else {
-		f.State.ServersChanged(c.Servers, c.Gone, c.At)
+		f.State.ServersChanged(c.Servers, c.Removed, c.Stamp)
 	}
-	for _, row := range c.Bad {
-		f.State.ServerUnusable(row.Key, c.At)
+	for _, row := range c.Malformed {
+		f.State.ServerUnusable(row.Key, c.Stamp)
 	}
 	for _, s := range c.Servers {
 		events.ServersChanged.Log(context.Background(), f.Log, slog.LevelInfo, "server", s.ID, "service", s.Service,
-			"ready", s.AcceptsRequests(), "addr", s.Addr, "born", s.Born, "era", c.At.Era, "ver", c.At.Version)
+			"ready", s.AcceptsRequests(), "addr", s.Addr, "born", s.Born, "era", c.Stamp.Era, "ver", c.Stamp.Version)
 	}
-	for _, id := range c.Gone {
-		events.ServersChanged.Log(context.Background(), f.Log, slog.LevelInfo, "server", id, "gone", true, "era", c.At.Era, "ver", c.At.Version)
+	for _, id := range c.Removed {
+		events.ServersChanged.Log(context.Background(), f.Log, slog.LevelInfo, "server", id, "gone", true, "era", c.Stamp.Era, "ver", c.Stamp.Version)
 	}
 	return true
 }
@@ -219,7 +219,7 @@
 		}
 		f.takeEra(s, &at, c, err)
 		if err != nil {
-			if kind(err) == platform.KindHistory {
+			if kind(err) == platform.KindHistoryDropped {
 				events.StoreHistory.Log(ctx, f.Log, slog.LevelInfo, "what", s.name, "after", at.at.Version)
 				at.known = false
 				dropped = true // it is read whole
@@ -238,7 +238,7 @@
 		}
 		if lost {
 			lost = false
-			events.StoreRegained.Log(ctx, f.Log, slog.LevelInfo, "what", s.name, "ver", c.At.Version)
+			events.StoreRegained.Log(ctx, f.Log, slog.LevelInfo, "what", s.name, "ver", c.Stamp.Version)
 		}
 		if at.known && f.Now().Sub(began) > wait(role)+lateAnswer {
 			s.idle() // the store may have been away meanwhile
@@ -246,11 +246,11 @@
 		s.back()
 		pause = backoffLeast
 		f.noteBad(bad, s.name, c, !at.known)
-		if at.at.After(c.At) || !s.take(c, !at.known, age(c, role, at.known, f.Now().Sub(began))) {
+		if at.at.After(c.Stamp) || !s.take(c, !at.known, age(c, role, at.known, f.Now().Sub(began))) {
 			sleep(ctx, backoffLeast) // an old view: read again
 			continue
 		}
-		at.at = c.At
+		at.at = c.Stamp
 		if !at.known {
 			at.known = true
 			dropped = false
@@ -267,7 +267,7 @@
 	era := eraOf(c, err)
 	if before, returned := f.State.TakeEra(era); returned {
 		events.StoreReturned.Log(context.Background(), f.Log, slog.LevelWarn, "from", "store", "what", s.name, "before", before, "era", era,
-			"ver", c.At.Version, "config", f.State.Version(), "servers", f.State.ServerCount())
+			"ver", c.Stamp.Version, "config", f.State.Version(), "servers", f.State.ServerCount())
 	}
 	if now := f.State.Era(); now > at.at.Era {
 		at.at = roster.Stamp{Era: now}
@@ -281,7 +281,7 @@
 	if errors.As(err, &e) {
 		return e.Era
 	}
-	return c.At.Era
+	return c.Stamp.Era
 }
 
 // noteBad logs and counts the rows that have become bad. bad holds those that are: one that
@@ -289,13 +289,13 @@
 func (f *Follower) noteBad(bad map[string]bool, what string, c platform.Change, whole bool) {
 	if whole {
 		maps.DeleteFunc(bad, func(key string, _ bool) bool {
-			return !slices.ContainsFunc(c.Bad, func(row platform.BadRow) bool { return row.Key == key })
+			return !slices.ContainsFunc(c.Malformed, func(row platform.MalformedRow) bool { return row.Key == key })
 		})
 	}
-	for _, key := range c.Good {
+	for _, key := range c.Valid {
 		delete(bad, key)
 	}
-	for _, row := range c.Bad {
+	for _, row := range c.Malformed {
 		if bad[row.Key] {
 			continue
 		}
@@ -311,8 +311,8 @@
 		return s.follow(ctx, at.at, wait(role))
 	}
 	c, err := s.read(ctx)
-	if err == nil && c.At.Era == 0 {
-		c.At.Era = f.State.Era() // it is not told: the one that is known
+	if err == nil && c.Stamp.Era == 0 {
+		c.Stamp.Era = f.State.Era() // it is not told: the one that is known
 	}
 	return c, err
 }
@@ -331,7 +331,7 @@
 	switch {
 	case !known:
 		return took
-	case len(c.Servers)+len(c.Gone) > 0 || c.Config != nil:
+	case len(c.Servers)+len(c.Removed) > 0 || c.Config != nil:
 		return 0 // it tells what is new, however late
 	}
 	return max(0, took-wait(role))
--- a/internal/edge/follow/follow_test.go
+++ b/internal/edge/follow/follow_test.go
@@ -84,7 +84,7 @@
 	f := start(t, follow.Everyone)
 	assert.Assert(t, !f.state.Ready())
 	f.put(3)
-	f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
+	f.store.Put("servers", "a", platformtest.ServerEntry("app", "127.0.0.1:1", "ready"))
 	edgetest.Until(t, "first view", func() bool { return f.state.Ready() && f.listed() == 1 })
 	f.put(9)
 	f.store.RemoveServer("a")
@@ -96,7 +96,7 @@
 	f.put(9)
 	edgetest.Until(t, "version 9", func() bool { return f.state.Version() == 9 })
 	f.put(4) // as a late answer or an old copy would tell it
-	f.store.Forget()
+	f.store.DropHistory()
 	f.put(10)
 	edgetest.Until(t, "version 10", func() bool { return f.state.Version() == 10 })
 }
@@ -104,13 +104,13 @@
 func TestReadsAnewWhenTheHistoryIsGone(t *testing.T) {
 	f := start(t, follow.Everyone)
 	f.put(1)
-	f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
+	f.store.Put("servers", "a", platformtest.ServerEntry("app", "127.0.0.1:1", "ready"))
 	edgetest.Until(t, "first view", func() bool { return f.listed() == 1 })
-	f.store.Fail(func(*http.Request) platformtest.Trouble { return platformtest.Reset })
-	f.store.Put("servers", "b", platformtest.Entry("app", "127.0.0.1:2", "ready"))
+	f.store.SetFault(func(*http.Request) platformtest.StoreFault { return platformtest.StoreReset })
+	f.store.Put("servers", "b", platformtest.ServerEntry("app", "127.0.0.1:2", "ready"))
 	f.put(2)
-	f.store.Forget()
-	f.store.Fail(nil)
+	f.store.DropHistory()
+	f.store.SetFault(nil)
 	edgetest.Until(t, "both servers", func() bool { return f.listed() == 2 && f.state.Version() == 2 })
 }
 
@@ -119,13 +119,13 @@
 func TestLapsedEntriesSurviveAnOutage(t *testing.T) {
 	f := start(t, follow.Everyone)
 	f.put(1)
-	f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
+	f.store.Put("servers", "a", platformtest.ServerEntry("app", "127.0.0.1:1", "ready"))
 	edgetest.Until(t, "first view", func() bool { return f.listed() == 1 })
 	calls := f.store.Calls("/v1/rows-feed")
-	f.store.Fail(func(*http.Request) platformtest.Trouble { return platformtest.Busy })
+	f.store.SetFault(func(*http.Request) platformtest.StoreFault { return platformtest.StoreUnavailable })
 	f.store.RemoveServer("a")
 	edgetest.Until(t, "the outage is seen", func() bool { return f.store.Calls("/v1/rows-feed") > calls+4 })
-	f.store.Fail(nil)
+	f.store.SetFault(nil)
 	f.put(2)
 	edgetest.Until(t, "the store is back", func() bool { return f.state.Version() == 2 })
 	assert.Equal(t, f.listed(), 1)
@@ -145,9 +145,9 @@
 func TestASpoiltEntryIsNotUsedUntilItIsGood(t *testing.T) {
 	f := start(t, follow.Everyone)
 	f.put(3)
-	good := platformtest.Entry("app", "127.0.0.1:1", "ready")
+	good := platformtest.ServerEntry("app", "127.0.0.1:1", "ready")
 	f.store.Put("servers", "a", good)
-	f.store.Put("servers", "b", platformtest.Entry("app", "127.0.0.1:2", "ready"))
+	f.store.Put("servers", "b", platformtest.ServerEntry("app", "127.0.0.1:2", "ready"))
 	takes := func(id string) bool { return f.state.Takes(routing.Identity{ID: id, Born: 1}) }
 	edgetest.Until(t, "both", func() bool { return takes("a") && takes("b") })
 	for _, spoilt := range []string{`{"service":"app"}`, `{`, `{"state":7}`} {
@@ -167,15 +167,15 @@
 func TestAListThatOthersGaveIsFollowedFromItsStamp(t *testing.T) {
 	f := startKnowing(t, follow.Reader, func(f *followed) {
 		f.put(1)
-		f.store.Put("servers", "a", platformtest.Entry("app", "127.0.0.1:1", "ready"))
+		f.store.Put("servers", "a", platformtest.ServerEntry("app", "127.0.0.1:1", "ready"))
 		f.state.TakeEra(1)
 		f.state.ServersToldBy(roster.Snapshot{Servers: []routing.Server{{ID: "a", Service: "app", State: routing.ServerReady}}}, roster.Stamp{Era: 1, Version: 2})
 		f.state.CrashesRead()
 	})
-	f.store.Put("servers", "b", platformtest.Entry("app", "127.0.0.1:2", "ready"))
+	f.store.Put("servers", "b", platformtest.ServerEntry("app", "127.0.0.1:2", "ready"))
 	edgetest.Until(t, "the change", func() bool { return f.listed() == 2 && f.state.Version() == 1 })
 	assert.Equal(t, f.store.Calls("/v1/rows-get"), 1, "the configuration's")
-	f.store.Forget()
-	f.store.Put("servers", "c", platformtest.Entry("app", "127.0.0.1:3", "ready"))
+	f.store.DropHistory()
+	f.store.Put("servers", "c", platformtest.ServerEntry("app", "127.0.0.1:3", "ready"))
 	edgetest.Until(t, "the list read whole", func() bool { return f.listed() == 3 })
 }
--- a/internal/edge/follow/rollouts.go
+++ b/internal/edge/follow/rollouts.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return false
 	}
-	d.ver, d.clock = stored.Ver, stored.Now
+	d.ver, d.clock = stored.RowVersion, stored.StoreTime
 	r, _ := f.State.Rollout(d.order.Service)
 	if !stored.Found || r.Order.NewerThan(stored.Record.Order) {
 		f.confirm(r, d.readAt.Sub(asked)) // the store knows nothing of it yet
@@ -161,7 +161,7 @@
 // takeOrders takes orders of the operator.
 func (f *Follower) takeOrders(c platform.Change) {
 	for _, o := range c.Orders {
-		o.Stamp.Era = c.At.Era
+		o.Stamp.Era = c.Stamp.Era
 		if f.State.TakeOrder(o) {
 			state.LogRollout(f.Log, rollout.Record{Order: o}, "operator")
 		}
--- a/internal/edge/front/backoff_test.go
+++ b/internal/edge/front/backoff_test.go
@@ -20,7 +20,7 @@
 	shortBackoff = 150 * time.Millisecond
 )
 
-func alwaysFull(string) platformtest.Fault { return platformtest.Full }
+func alwaysFull(string) platformtest.Fault { return platformtest.Overloaded }
 
 // refuseWithBackoff makes the first server refuse requests with a Retry-After of d, makes calls
 // until it has refused one, and returns it.
@@ -28,7 +28,7 @@
 	r.t.Helper()
 	s := servers[0]
 	s.SetBackoff(d)
-	s.Fail(alwaysFull)
+	s.SetFault(alwaysFull)
 	r.callUntil(method, path, func() bool { return len(s.Arrivals()) > 0 })
 	return s
 }
@@ -102,7 +102,7 @@
 	_, plain := r.servers(2)
 	for _, s := range plain {
 		s.SetBackoff(longBackoff)
-		s.Fail(alwaysFull)
+		s.SetFault(alwaysFull)
 	}
 	assert.Equal(t, r.call(context.Background(), "GET", "/r/x", "k", "").status, 503)
 	a := r.call(context.Background(), "GET", "/r/x", "k", "")
@@ -119,7 +119,7 @@
 		r.configure()
 		_, plain := r.servers(2)
 		s := r.refuseWithBackoff("GET", "/r/x", plain, shortBackoff)
-		s.Fail(nil)
+		s.SetFault(nil)
 		time.Sleep(shortBackoff)
 		r.callUntil("GET", "/r/x", func() bool { return len(s.Runs()) > 0 })
 	})
@@ -128,7 +128,7 @@
 		r.configure()
 		_, plain := r.servers(2)
 		s := r.refuseWithBackoff("GET", "/r/x", plain, longBackoff)
-		s.Fail(nil)
+		s.SetFault(nil)
 		list, _ := r.state.Servers()
 		for _, entry := range list {
 			if entry.ID == s.ID {
--- a/internal/edge/front/caller_test.go
+++ b/internal/edge/front/caller_test.go
@@ -26,7 +26,7 @@
 			req, err := http.NewRequest("POST", r.server.URL+paths[i%len(paths)], strings.NewReader("body"))
 			assert.Check(r.t, err)
 			req.Host = platformtest.Host
-			platformtest.Ask(req.Header, fmt.Sprintf("warm-%d", i), "k", 2*time.Second, "")
+			platformtest.SetRequestHeaders(req.Header, fmt.Sprintf("warm-%d", i), "k", 2*time.Second, "")
 			resp, err := http.DefaultClient.Do(req)
 			assert.Check(r.t, err)
 			_, err = io.Copy(io.Discard, resp.Body)
@@ -82,14 +82,14 @@
 // its answer was lost.
 func TestWhatAServerRanIsNoPromise(t *testing.T) {
 	for _, fault := range []platformtest.Fault{
-		platformtest.ResetAfter, platformtest.CutAnswer, platformtest.Garbage, platformtest.ServerFail, platformtest.ExtraFirst, platformtest.Unframed,
+		platformtest.ResetAfterRun, platformtest.TruncatedResponse, platformtest.Garbage, platformtest.InternalError, platformtest.UnsolicitedBefore, platformtest.CloseDelimited,
 	} {
 		for _, path := range []string{"/u/x", "/o/x", "/r/x", "/s/x"} {
 			r := newRig(t)
 			r.configure()
 			engines, plain := r.servers(2)
 			for _, s := range append(engines, plain...) {
-				s.Fail(func(string) platformtest.Fault { return fault })
+				s.SetFault(func(string) platformtest.Fault { return fault })
 			}
 			a := r.call(t.Context(), "POST", path, "k", "body")
 			ran := len(runs(engines))+len(runs(plain)) > 0
@@ -111,12 +111,12 @@
 	_, plain := r.servers(1)
 	plain[0].Gap = 50 * time.Millisecond
 	r.warm(4, "/r/x")
-	opened := plain[0].Opened()
+	opened := plain[0].ConnectionsAccepted()
 	assert.Assert(t, opened > 1, "several connections are kept")
-	plain[0].Fail(func(string) platformtest.Fault { return platformtest.Mute })
+	plain[0].SetFault(func(string) platformtest.Fault { return platformtest.NoResponse })
 	r.call(t.Context(), "GET", "/r/x", "k", "")
 	assert.Assert(t, strings.Contains(r.log.String(), "silent"))
-	plain[0].Fail(nil)
+	plain[0].SetFault(nil)
 	assert.Equal(t, r.call(t.Context(), "GET", "/r/x", "k", "").status, 200)
-	assert.Equal(t, plain[0].Opened(), opened+1, "the other kept connections were closed")
+	assert.Equal(t, plain[0].ConnectionsAccepted(), opened+1, "the other kept connections were closed")
 }
--- a/internal/edge/front/earlyrejection.go
+++ b/internal/edge/front/earlyrejection.go
@@ -61,7 +61,7 @@
 	if r == nil {
 		return bytes.Clone(s.buf[:n]), Undecided
 	}
-	q := &request{h: s.h, r: r, ask: s.h.Headers.Ask(r.Header), begin: s.h.Now()}
+	q := &request{h: s.h, r: r, ask: s.h.Headers.ParseRequest(r.Header), begin: s.h.Now()}
 	if refusal := q.decide(full); refusal != nil {
 		q.note(refusal)
 		s.out.Reset(c)
--- a/internal/edge/front/earlyrejection_bench_test.go
+++ b/internal/edge/front/earlyrejection_bench_test.go
@@ -28,7 +28,7 @@
 // calls: a request of 9 KB.
 func BenchmarkEarlyRejection(b *testing.B) {
 	s := state.New("dc", 0.2, 80, time.Now)
-	routes := []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", Attempts: 2, Timeout: 6 * time.Second}}
+	routes := []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", MaxAttempts: 2, Timeout: 6 * time.Second}}
 	text := platformtest.Config(1, routes, []string{"llm"}, nil, map[string]string{"k": "k"})
 	c, err := platform.DecodeConfig(text)
 	assert.NilError(b, err)
@@ -39,7 +39,7 @@
 		ProcessorWait: func() time.Duration { return pressure.Saturated }, NearConnLimit: func() bool { return true },
 	})
 	header := http.Header{}
-	platformtest.Ask(header, "a1", "k", 6*time.Second, "aa:6300,bb:2890")
+	platformtest.SetRequestHeaders(header, "a1", "k", 6*time.Second, "aa:6300,bb:2890")
 	var request strings.Builder
 	request.WriteString("POST /s/x HTTP/1.1\r\nHost: " + platformtest.Host + "\r\nContent-Length: 9200\r\n")
 	assert.NilError(b, header.Write(&request))
--- a/internal/edge/front/earlyrejection_test.go
+++ b/internal/edge/front/earlyrejection_test.go
@@ -64,7 +64,7 @@
 func request(customerKey string, missing int) string {
 	const body = 3000
 	header := http.Header{}
-	platformtest.Ask(header, "a1", customerKey, 2*time.Second, "")
+	platformtest.SetRequestHeaders(header, "a1", customerKey, 2*time.Second, "")
 	var text strings.Builder
 	text.WriteString("POST /u/x HTTP/1.1\r\nHost: " + platformtest.Host + "\r\nContent-Length: 3000\r\n")
 	_ = header.Write(&text) // a builder takes all
--- a/internal/edge/front/exchange.go
+++ b/internal/edge/front/exchange.go
@@ -157,7 +157,7 @@
 	q := x.q
 	x.recordNotice(a)
 	x.placed.Status = a.Status
-	notRun, other, _ := q.h.Headers.Answer(a.Status, a.Header)
+	notRun, other, _ := q.h.Headers.ParseResponse(a.Status, a.Header)
 	if notRun {
 		return x.refused(a, other)
 	}
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -26,18 +26,18 @@
 // Headers translates the headers of callers and servers. The platform's folder
 // implements it.
 type Headers interface {
-	Ask(h http.Header) routing.RequestMeta
-	// ToServer sets what the fleet itself says to a server.
-	ToServer(h http.Header, o routing.ForwardMeta)
-	// Answer reads a server's answer: notRun that the request has not run and
+	ParseRequest(h http.Header) routing.RequestMeta
+	// SetForwardHeaders sets what the fleet itself says to a server.
+	SetForwardHeaders(h http.Header, o routing.ForwardMeta)
+	// ParseResponse reads a server's answer: notRun that the request has not run and
 	// never will, other that another server has the address, attempt the
 	// caller's id of the attempt that it belongs to.
-	Answer(status int, h http.Header) (notRun, other bool, attempt string)
-	// Notice parses the headers of an answer that describe the server itself. Values that
+	ParseResponse(status int, h http.Header) (notRun, other bool, attempt string)
+	// ParseNotice parses the headers of an answer that describe the server itself. Values that
 	// can't be parsed are left zero, and an error is returned.
-	Notice(status int, h http.Header) (routing.ServerNotice, error)
-	// ToCaller names the attempt in an answer of the fleet's own.
-	ToCaller(h http.Header, attempt string)
+	ParseNotice(status int, h http.Header) (routing.ServerNotice, error)
+	// SetAttempt names the attempt in an answer of the fleet's own.
+	SetAttempt(h http.Header, attempt string)
 }
 
 // Config is what a handler needs.
@@ -153,7 +153,7 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.running.Add(1)
 	defer h.running.Add(-1)
-	q := &request{h: h, w: w, r: r, ask: h.Headers.Ask(r.Header), begin: h.Now(), admitted: wasAdmitted(r)}
+	q := &request{h: h, w: w, r: r, ask: h.Headers.ParseRequest(r.Header), begin: h.Now(), admitted: wasAdmitted(r)}
 	q.routine = h.OneIn > 0 && xxhash.Sum64String(q.ask.Attempt)%uint64(h.OneIn) == 0
 	if h.draining.Load() || h.NearConnLimit() || h.Refusing() {
 		w.Header().Set("Connection", "close")
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -68,7 +68,7 @@
 func (r *rig) configure() {
 	r.config++
 	route := func(prefix, kind, service string, attempts int, resume bool) platformtest.Route {
-		return platformtest.Route{Prefix: prefix, Kind: kind, Service: service, Attempts: attempts, Resume: resume, Timeout: 2 * time.Second}
+		return platformtest.Route{Prefix: prefix, Kind: kind, Service: service, MaxAttempts: attempts, Resumable: resume, Timeout: 2 * time.Second}
 	}
 	text := platformtest.Config(r.config, []platformtest.Route{
 		route("/s/", "streaming", "llm", 2, true),
@@ -122,7 +122,7 @@
 	if path[1] == 's' || path[1] == 'o' {
 		prompt = "aa:600,bb:100"
 	}
-	platformtest.Ask(req.Header, a.id, key, 2*time.Second, prompt)
+	platformtest.SetRequestHeaders(req.Header, a.id, key, 2*time.Second, prompt)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		a.err = err
@@ -155,7 +155,7 @@
 	var mu sync.Mutex
 	used := false
 	for _, s := range servers {
-		s.Fail(func(string) platformtest.Fault {
+		s.SetFault(func(string) platformtest.Fault {
 			mu.Lock()
 			defer mu.Unlock()
 			if used {
@@ -183,13 +183,13 @@
 	a := r.call(context.Background(), "POST", "/u/a%2Fb?c=d", "k", "hello")
 	assert.Equal(t, a.status, 200)
 	assert.Equal(t, a.body, platformtest.Body(a.id))
-	assert.Assert(t, platformtest.Sealed(a.header) != "")
+	assert.Assert(t, platformtest.ServerSeal(a.header) != "")
 	run := plain[0].Runs()[0]
 	assert.Equal(t, run.Target, "/u/a%2Fb?c=d")
 	assert.Equal(t, run.Body, "hello")
 	assert.Equal(t, run.Customer, "ana")
 	assert.Equal(t, run.Key, "")
-	assert.Assert(t, run.LeftMs > 1000 && run.LeftMs <= 2000, "%d", run.LeftMs)
+	assert.Assert(t, run.DeadlineMs > 1000 && run.DeadlineMs <= 2000, "%d", run.DeadlineMs)
 }
 
 // What the view of the store is too old to tell is refused with a promise, so
@@ -218,14 +218,14 @@
 // has not run one lets it go to another.
 func TestUnsafeRequestsRunAtMostOnce(t *testing.T) {
 	for fault, want := range map[platformtest.Fault]int{
-		platformtest.ResetAfter: 502,
-		platformtest.CutAnswer:  502,
-		platformtest.Garbage:    502,
-		platformtest.ServerFail: 500,
-		platformtest.Full:       200,
-		platformtest.Early:      200,
-		platformtest.Unframed:   200,
-		platformtest.ExtraFirst: 200,
+		platformtest.ResetAfterRun:     502,
+		platformtest.TruncatedResponse: 502,
+		platformtest.Garbage:           502,
+		platformtest.InternalError:     500,
+		platformtest.Overloaded:        200,
+		platformtest.EarlyRefusal:      200,
+		platformtest.CloseDelimited:    200,
+		platformtest.UnsolicitedBefore: 200,
 	} {
 		r := newRig(t)
 		r.configure()
@@ -238,15 +238,15 @@
 			assert.Equal(t, a.body, platformtest.Body(a.id), "fault %d", fault)
 		}
 		if want == 502 {
-			assert.Equal(t, platformtest.Sealed(a.header), "")
+			assert.Equal(t, platformtest.ServerSeal(a.header), "")
 		}
 	}
 }
 
 func TestSafeRequestsAreAskedAgain(t *testing.T) {
 	for _, fault := range []platformtest.Fault{
-		platformtest.ResetAfter, platformtest.CutAnswer, platformtest.Garbage,
-		platformtest.ServerFail, platformtest.Full, platformtest.Mute,
+		platformtest.ResetAfterRun, platformtest.TruncatedResponse, platformtest.Garbage,
+		platformtest.InternalError, platformtest.Overloaded, platformtest.NoResponse,
 	} {
 		r := newRig(t)
 		r.configure()
@@ -264,7 +264,7 @@
 	r.configure()
 	_, plain := r.servers(3)
 	for _, s := range plain {
-		s.Fail(func(string) platformtest.Fault { return platformtest.Full })
+		s.SetFault(func(string) platformtest.Fault { return platformtest.Overloaded })
 	}
 	a := r.call(context.Background(), "POST", "/u/x", "k", "")
 	assert.Equal(t, a.status, 503)
@@ -275,7 +275,7 @@
 // The bytes of another request's answer, before or after a request's own, reach
 // no caller, and their connection is not used again.
 func TestExtraAnswersReachNobody(t *testing.T) {
-	for _, fault := range []platformtest.Fault{platformtest.ExtraFirst, platformtest.ExtraAfter} {
+	for _, fault := range []platformtest.Fault{platformtest.UnsolicitedBefore, platformtest.UnsolicitedAfter} {
 		r := newRig(t)
 		r.configure()
 		_, plain := r.servers(1)
@@ -285,7 +285,7 @@
 			assert.Equal(t, a.status, 200)
 			assert.Equal(t, a.body, platformtest.Body(a.id))
 		}
-		assert.Equal(t, plain[0].Opened(), 2, "fault %d", fault)
+		assert.Equal(t, plain[0].ConnectionsAccepted(), 2, "fault %d", fault)
 	}
 }
 
@@ -293,17 +293,17 @@
 	r := newRig(t)
 	r.configure()
 	engines, _ := r.servers(2)
-	once(engines, platformtest.CutAnswer)
+	once(engines, platformtest.TruncatedResponse)
 	a := r.call(context.Background(), "POST", "/s/x", "k", "")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.body, whole(a.id))
 	all := runs(engines)
 	assert.Equal(t, len(all), 2)
 	second := all[0]
-	if second.After == "" {
+	if second.LastEventID == "" {
 		second = all[1]
 	}
-	assert.Equal(t, second.After, "4", "the last whole event")
+	assert.Equal(t, second.LastEventID, "4", "the last whole event")
 }
 
 // A stream that may not be resumed ends visibly cut, and runs once.
@@ -311,7 +311,7 @@
 	r := newRig(t)
 	r.configure()
 	engines, _ := r.servers(2)
-	once(engines, platformtest.CutAnswer)
+	once(engines, platformtest.TruncatedResponse)
 	a := r.call(context.Background(), "POST", "/o/x", "k", "")
 	assert.Equal(t, a.status, 200)
 	assert.Assert(t, a.err != nil, "it must not look whole")
@@ -328,7 +328,7 @@
 	req, err := http.NewRequest("POST", "/s/x", nil)
 	assert.NilError(t, err)
 	req.Host = platformtest.Host
-	platformtest.Ask(req.Header, "leaver", "k", 2*time.Second, "aa:600,bb:100")
+	platformtest.SetRequestHeaders(req.Header, "leaver", "k", 2*time.Second, "aa:600,bb:100")
 	assert.NilError(t, req.Write(c))
 	_, err = bufio.NewReader(c).ReadString('\n')
 	assert.NilError(t, err)
@@ -343,7 +343,7 @@
 	r := newRig(t)
 	r.configure()
 	_, plain := r.servers(1)
-	plain[0].Fail(func(string) platformtest.Fault { return platformtest.Mute })
+	plain[0].SetFault(func(string) platformtest.Fault { return platformtest.NoResponse })
 	ctx, cancel := context.WithCancel(context.Background())
 	left := make(chan struct{})
 	go func() {
@@ -366,7 +366,7 @@
 	r := newRig(t)
 	r.configure()
 	_, plain := r.servers(1)
-	plain[0].Fail(func(string) platformtest.Fault { return platformtest.Mute })
+	plain[0].SetFault(func(string) platformtest.Fault { return platformtest.NoResponse })
 	a := r.call(context.Background(), "POST", "/u/x", "k", "")
 	assert.Equal(t, a.status, 504)
 	assert.Assert(t, strings.Contains(r.log.String(), `"reason":"the time is over"`))
@@ -387,9 +387,9 @@
 	assert.Assert(t, r.state.Report().Rates["ana"].Demand > 0, "the fleet knows that the customer asked: %v", r.state.Report().Rates)
 
 	r.wait.Store(0)
-	plain[0].Fail(func(string) platformtest.Fault {
+	plain[0].SetFault(func(string) platformtest.Fault {
 		r.wait.Store(int64(time.Second))
-		return platformtest.Mute
+		return platformtest.NoResponse
 	})
 	a = r.call(context.Background(), "POST", "/u/x", "k", "body")
 	assert.Equal(t, a.status, 504)
@@ -441,7 +441,7 @@
 	r.configure()
 	_, plain := r.servers(2)
 	for _, s := range plain {
-		s.Fail(func(string) platformtest.Fault { return platformtest.ServerFail })
+		s.SetFault(func(string) platformtest.Fault { return platformtest.InternalError })
 	}
 	const requests = 100
 	for range requests {
@@ -457,7 +457,7 @@
 	r := newRig(t)
 	r.configure()
 	_, plain := r.servers(1)
-	plain[0].Fail(func(string) platformtest.Fault { return platformtest.ResetAfter })
+	plain[0].SetFault(func(string) platformtest.Fault { return platformtest.ResetAfterRun })
 	a := r.call(context.Background(), "POST", "/u/x", "k", "")
 	assert.Equal(t, a.status, 502)
 	text := r.log.String()
--- a/internal/edge/front/leaving_test.go
+++ b/internal/edge/front/leaving_test.go
@@ -117,7 +117,7 @@
 	_, plain := r.servers(3)
 	for _, s := range plain[:2] {
 		s.SetLeaving(true)
-		s.Fail(func(string) platformtest.Fault { return platformtest.Full })
+		s.SetFault(func(string) platformtest.Fault { return platformtest.Overloaded })
 	}
 	r.callUntil("GET", "/r/x", func() bool { return len(plain[0].Arrivals()) > 0 && len(plain[1].Arrivals()) > 0 })
 	time.Sleep(busyExpiry)
--- a/internal/edge/front/notice.go
+++ b/internal/edge/front/notice.go
@@ -11,7 +11,7 @@
 // before the answer is handled, so that the state is up to date when a retry is placed.
 func (x *exchange) recordNotice(a *upstream.Answer) {
 	q := x.q
-	n, err := q.h.Headers.Notice(a.Status, a.Header)
+	n, err := q.h.Headers.ParseNotice(a.Status, a.Header)
 	if err != nil && q.h.State.ServerNoticeMalformed(x.server.Identity()) {
 		q.h.Meter.Believed(x.server.Service, "notice refused")
 		q.log(slog.LevelWarn, events.ServerNoticeBad, "server", x.server.ID, "service", x.server.Service, "err", err)
--- a/internal/edge/front/notice_test.go
+++ b/internal/edge/front/notice_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, r.state.LeavingCount(), 1)
 
 	plain[0].SetBackoff(90 * time.Millisecond)
-	plain[0].Fail(func(string) platformtest.Fault { return platformtest.Full })
+	plain[0].SetFault(func(string) platformtest.Fault { return platformtest.Overloaded })
 	r.call(context.Background(), "GET", "/r/x", "k", "")
 	assert.Assert(t, strings.Contains(r.log.String(), `"forMs":90`), "%s", r.log)
 	assert.Equal(t, r.state.BackoffCount(), 1)
@@ -34,9 +34,9 @@
 // malformedLeaving puts an invalid Server-Leaving value into every answer.
 type malformedLeaving struct{ platform.Headers }
 
-func (m malformedLeaving) Notice(status int, h http.Header) (routing.ServerNotice, error) {
+func (m malformedLeaving) ParseNotice(status int, h http.Header) (routing.ServerNotice, error) {
 	h.Set("Server-Leaving", "soon")
-	return m.Headers.Notice(status, h)
+	return m.Headers.ParseNotice(status, h)
 }
 
 // Guards against a malformed notice that fails requests, marks the server or is not logged.
--- a/internal/edge/front/operations_test.go
+++ b/internal/edge/front/operations_test.go
@@ -75,7 +75,7 @@
 	r := newRig(t)
 	r.configure()
 	_, plain := r.servers(1)
-	plain[0].Fail(func(string) platformtest.Fault { return platformtest.ResetAfter })
+	plain[0].SetFault(func(string) platformtest.Fault { return platformtest.ResetAfterRun })
 	a := r.call(context.Background(), "POST", "/u/x", "k", "")
 	assert.Equal(t, a.status, 502)
 	said := follow(t, r, "edge-failed", a.id)
@@ -87,7 +87,7 @@
 	r.configure()
 	engines, _ := r.servers(8)
 	for _, s := range engines {
-		s.Fail(func(string) platformtest.Fault { return platformtest.CutAnswer })
+		s.SetFault(func(string) platformtest.Fault { return platformtest.TruncatedResponse })
 	}
 	a := r.call(context.Background(), "POST", "/s/x", "k", "guilty")
 	for a.status != 503 {
--- a/internal/edge/front/poison_test.go
+++ b/internal/edge/front/poison_test.go
@@ -22,9 +22,9 @@
 	engines, _ := r.servers(8)
 	var sent atomic.Int64
 	for _, s := range engines {
-		s.Fail(func(string) platformtest.Fault {
+		s.SetFault(func(string) platformtest.Fault {
 			if sent.Add(1) <= poison.CrashesToBlock {
-				return platformtest.CutAnswer
+				return platformtest.TruncatedResponse
 			}
 			return platformtest.NoFault
 		})
@@ -47,18 +47,18 @@
 
 // Failures that a server answers, bytes that are no answer and silence are none of a crash.
 func TestOnlyEndsCount(t *testing.T) {
-	for _, fault := range []platformtest.Fault{platformtest.ServerFail, platformtest.Garbage, platformtest.Mute} {
+	for _, fault := range []platformtest.Fault{platformtest.InternalError, platformtest.Garbage, platformtest.NoResponse} {
 		r := newRig(t)
 		r.configure()
 		_, plain := r.servers(6)
 		for _, s := range plain {
-			s.Fail(func(string) platformtest.Fault { return fault })
+			s.SetFault(func(string) platformtest.Fault { return fault })
 		}
 		for range 3 {
 			r.call(context.Background(), "POST", "/r/x", "k", "same")
 		}
 		for _, s := range plain {
-			s.Fail(nil)
+			s.SetFault(nil)
 		}
 		assert.Equal(t, r.call(context.Background(), "POST", "/r/x", "k", "same").status, 200, "fault %d", fault)
 		assert.Assert(t, !r.state.AnyCrashed(), "fault %d", fault)
@@ -71,7 +71,7 @@
 	r.configure()
 	engines, _ := r.servers(8)
 	for range 2 * poison.CrashesToBlock {
-		once(engines, platformtest.CutAnswer)
+		once(engines, platformtest.TruncatedResponse)
 		broken := r.call(context.Background(), "POST", "/o/x", "k", "asked again and again")
 		assert.Assert(t, broken.err != nil || broken.status == 502, "%d", broken.status)
 		assert.Equal(t, r.call(context.Background(), "POST", "/o/x", "k", "asked again and again").status, 200)
--- a/internal/edge/front/refuse.go
+++ b/internal/edge/front/refuse.go
@@ -54,7 +54,7 @@
 // refusalHeader sets what each refusal says to its caller: which attempt it answers, and
 // when to come back.
 func (q *request) refusalHeader(header http.Header, f *Refusal) {
-	q.h.Headers.ToCaller(header, q.ask.Attempt)
+	q.h.Headers.SetAttempt(header, q.ask.Attempt)
 	if f.Back > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(f.Back.Seconds(), 'f', 3, 64))
 	}
--- a/internal/edge/front/run.go
+++ b/internal/edge/front/run.go
@@ -182,7 +182,7 @@
 	if q.header == nil {
 		q.header = upstream.EndToEnd(q.r.Header)
 	}
-	q.h.Headers.ToServer(q.header, routing.ForwardMeta{
+	q.h.Headers.SetForwardHeaders(q.header, routing.ForwardMeta{
 		TimeLeft:    q.remaining(),
 		ServerID:    p.Choice.Server.ID,
 		Customer:    q.customer,
@@ -207,7 +207,7 @@
 // own reports whether an answer belongs to the request. A refusal need not
 // name it.
 func (q *request) own(status int, h http.Header) bool {
-	notRun, _, attempt := q.h.Headers.Answer(status, h)
+	notRun, _, attempt := q.h.Headers.ParseResponse(status, h)
 	if attempt == "" {
 		return notRun
 	}
--- a/internal/edge/front/sending_test.go
+++ b/internal/edge/front/sending_test.go
@@ -26,9 +26,9 @@
 	do func(server string)
 }
 
-func (a afterChoice) ToServer(h http.Header, o routing.ForwardMeta) {
+func (a afterChoice) SetForwardHeaders(h http.Header, o routing.ForwardMeta) {
 	a.do(o.ServerID)
-	a.Headers.ToServer(h, o)
+	a.Headers.SetForwardHeaders(h, o)
 }
 
 // A server that leaves between the choice and the sending gets nothing (an overloaded
@@ -90,7 +90,7 @@
 	req, err := http.NewRequest("POST", r.server.URL+"/s/x", strings.NewReader("body"))
 	assert.NilError(t, err)
 	req.Host = platformtest.Host
-	platformtest.Ask(req.Header, "one", "k", 2*time.Second, "aa:600,bb:100")
+	platformtest.SetRequestHeaders(req.Header, "one", "k", 2*time.Second, "aa:600,bb:100")
 	resp, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
 	defer func() { _ = resp.Body.Close() }()
--- a/internal/edge/front/shed.go
+++ b/internal/edge/front/shed.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return // nothing was read that could be answered
 	}
-	q := &request{h: h, r: r, ask: h.Headers.Ask(r.Header), begin: h.Now()}
+	q := &request{h: h, r: r, ask: h.Headers.ParseRequest(r.Header), begin: h.Now()}
 	refusal := q.withoutRoom()
 	q.note(refusal)
 	if err := q.writeRefusal(bufio.NewWriterSize(c, shedBuffer), refusal); err != nil {
--- a/internal/edge/front/suspend_test.go
+++ b/internal/edge/front/suspend_test.go
@@ -20,19 +20,19 @@
 	var ahead atomic.Int64
 	r := newRig(t)
 	r.handler.Now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
-	route := platformtest.Route{Prefix: "/u/", Kind: "unsafe", Service: "app", Attempts: 2, Timeout: time10}
+	route := platformtest.Route{Prefix: "/u/", Kind: "unsafe", Service: "app", MaxAttempts: 2, Timeout: time10}
 	text := platformtest.Config(1, []platformtest.Route{route}, nil, []string{"app"}, map[string]string{"k": "ana"})
 	c, err := platform.DecodeConfig(text)
 	assert.NilError(t, err)
 	r.state.TakeConfig(c, text)
 	_, plain := r.servers(2)
 	for _, s := range plain {
-		s.Fail(func(string) platformtest.Fault { return platformtest.Mute })
+		s.SetFault(func(string) platformtest.Fault { return platformtest.NoResponse })
 	}
 	req, err := http.NewRequest(http.MethodPost, r.server.URL+"/u/x", nil)
 	assert.NilError(t, err)
 	req.Host = platformtest.Host
-	platformtest.Ask(req.Header, "attempt", "k", time10, "")
+	platformtest.SetRequestHeaders(req.Header, "attempt", "k", time10, "")
 	answered := make(chan int, 1)
 	go func() {
 		resp, err := http.DefaultClient.Do(req)
--- a/internal/edge/node/crashing_test.go
+++ b/internal/edge/node/crashing_test.go
@@ -42,13 +42,13 @@
 func crashing(f *fleet) *atomic.Int64 {
 	var ends atomic.Int64
 	for _, s := range f.servers {
-		s.Fail(func(attempt string) platformtest.Fault {
+		s.SetFault(func(attempt string) platformtest.Fault {
 			if strings.HasPrefix(attempt, guilty) {
 				return platformtest.Crash
 			}
 			return platformtest.NoFault
 		})
-		s.Crashed = func() {
+		s.OnCrash = func() {
 			ends.Add(1)
 			// An address that is taken meanwhile leaves one engine fewer.
 			if s.Restart() == nil {
--- a/internal/edge/node/evacuation_test.go
+++ b/internal/edge/node/evacuation_test.go
@@ -16,7 +16,7 @@
 	f.prompts = 16
 	for i, s := range f.servers {
 		if i%2 == 1 {
-			s.Centre = "west"
+			s.DataCentre = "west"
 			f.store.PutServer(s, "ready")
 		}
 	}
@@ -26,7 +26,7 @@
 // ran is how many requests the servers of a data centre have run.
 func (f *fleet) ran(dataCentre string) (n int) {
 	for _, s := range f.servers {
-		if s.Centre == dataCentre {
+		if s.DataCentre == dataCentre {
 			n += len(s.Runs())
 		}
 	}
@@ -55,7 +55,7 @@
 	late := f.start("127.0.47.3", a, b)
 	send(a, b, late)
 	assert.Equal(t, f.ran("west"), before)
-	f.store.TakeBack("west")
+	f.store.EndEvacuation("west")
 	edgetest.Until(t, "it is served again", func() bool {
 		send(a)
 		return f.ran("west") > before
@@ -76,7 +76,7 @@
 		assert.Assert(t, time.Since(began) < 2*time.Second)
 	}
 	assert.Equal(t, f.ran("dc")+f.ran("west"), before)
-	f.store.TakeBack("dc")
+	f.store.EndEvacuation("dc")
 	edgetest.Until(t, "one is back", func() bool { return a.send("/s/x", "e", "") == http.StatusOK })
 }
 
@@ -86,7 +86,7 @@
 	a := f.start("127.0.49.1")
 	for range 3 {
 		f.store.Evacuate("west")
-		f.store.TakeBack("west")
+		f.store.EndEvacuation("west")
 	}
 	f.store.Put("op", "evacuate/west", []byte(`["a body that is not empty"]`))
 	f.store.Evacuate("nowhere")
--- a/internal/edge/node/fleet_test.go
+++ b/internal/edge/node/fleet_test.go
@@ -59,7 +59,7 @@
 	t.Cleanup(f.stored.CloseClientConnections)
 	f.ports = reservePorts(t, fmt.Sprintf("127.0.%d.1", network))
 	route := func(prefix string, resume bool) platformtest.Route {
-		return platformtest.Route{Prefix: prefix, Kind: "streaming", Service: "llm", Attempts: 2, Resume: resume, Timeout: 5 * time.Second}
+		return platformtest.Route{Prefix: prefix, Kind: "streaming", Service: "llm", MaxAttempts: 2, Resumable: resume, Timeout: 5 * time.Second}
 	}
 	f.store.PutConfig(platformtest.Config(1, []platformtest.Route{route("/o/", false), route("/s/", true)}, []string{"llm"}, nil, map[string]string{"k": "ana"}))
 	for i := range fleetEngines {
@@ -168,7 +168,7 @@
 	req.Host = platformtest.Host
 	id := m.f.ids.Add(1)
 	prompt := fmt.Sprintf("aa%d:600,bb:100", id%max(m.f.prompts, 1))
-	platformtest.Ask(req.Header, fmt.Sprintf("%s-%d", name, id), "k", 5*time.Second, prompt)
+	platformtest.SetRequestHeaders(req.Header, fmt.Sprintf("%s-%d", name, id), "k", 5*time.Second, prompt)
 	req.Close = true
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/internal/edge/node/flood_bench_test.go
+++ b/internal/edge/node/flood_bench_test.go
@@ -27,7 +27,7 @@
 	for name, wait := range map[string]time.Duration{"by the listener": pressure.Saturated, "by net/http": pressure.Busy - 1} {
 		b.Run(name, func(b *testing.B) {
 			s := state.New("dc", 0.2, 80, time.Now)
-			routes := []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", Attempts: 2, Timeout: 6 * time.Second}}
+			routes := []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", MaxAttempts: 2, Timeout: 6 * time.Second}}
 			text := platformtest.Config(1, routes, []string{"llm"}, nil, map[string]string{"k": "k"})
 			c, err := platform.DecodeConfig(text)
 			assert.NilError(b, err)
@@ -43,7 +43,7 @@
 			go func() { _ = server.Serve(newLimiter(ln, handler, 112)) }() // it ends with the benchmark
 			b.Cleanup(func() { _ = server.Close() })
 			header := http.Header{}
-			platformtest.Ask(header, "a1", "k", 6*time.Second, "aa:6300,bb:2890")
+			platformtest.SetRequestHeaders(header, "a1", "k", 6*time.Second, "aa:6300,bb:2890")
 			var request strings.Builder
 			request.WriteString("POST /s/x HTTP/1.1\r\nHost: " + platformtest.Host + "\r\nContent-Length: 9200\r\n")
 			assert.NilError(b, header.Write(&request))
--- a/internal/edge/node/flood_test.go
+++ b/internal/edge/node/flood_test.go
@@ -143,7 +143,7 @@
 	t.Helper()
 	h := &busyHost{probe: pressure.New(0.2, time.Now), backlog: make(chan net.Conn), entered: make(chan struct{}), leave: make(chan struct{})}
 	s := state.New("dc", 0.2, 80, time.Now)
-	routes := []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", Attempts: 2, Timeout: 6 * time.Second}}
+	routes := []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", MaxAttempts: 2, Timeout: 6 * time.Second}}
 	text := platformtest.Config(1, routes, []string{"llm"}, nil, map[string]string{"flood": "flood", "other": "other"})
 	c, err := platform.DecodeConfig(text)
 	assert.NilError(t, err)
@@ -283,7 +283,7 @@
 func (c callerOf) sendAs(t *testing.T, customer, length string, body ...string) {
 	t.Helper()
 	header := http.Header{}
-	platformtest.Ask(header, customer, customer, 6*time.Second, "aa:600,bb:100")
+	platformtest.SetRequestHeaders(header, customer, customer, 6*time.Second, "aa:600,bb:100")
 	var text strings.Builder
 	text.WriteString("POST /s/x HTTP/1.1\r\nHost: " + platformtest.Host + "\r\n" + length)
 	assert.NilError(t, header.Write(&text))
--- a/internal/edge/node/notice_test.go
+++ b/internal/edge/node/notice_test.go
@@ -19,14 +19,14 @@
 	f.prompts = 2 * fleetEngines // spreads requests over all engines
 	first := f.start("127.0.53.1")
 	edgetest.Until(t, "the first router's server list", func() bool { return first.node.state.ServerCount() == fleetEngines })
-	f.store.Fail(func(*http.Request) platformtest.Trouble { return platformtest.Busy })
+	f.store.SetFault(func(*http.Request) platformtest.StoreFault { return platformtest.StoreUnavailable })
 	second := f.start("127.0.53.2", first)
 	edgetest.Until(t, "the second router's server list", func() bool { return second.node.state.ServerCount() == fleetEngines })
 
 	leaving, busy := f.servers[0], f.servers[1]
 	leaving.SetLeaving(true)
 	busy.SetBackoff(time.Minute)
-	busy.Fail(func(string) platformtest.Fault { return platformtest.Full })
+	busy.SetFault(func(string) platformtest.Fault { return platformtest.Overloaded })
 	edgetest.Until(t, "both servers have answered", func() bool {
 		second.send("/s/x", "a", "")
 		return len(leaving.Arrivals()) > 0 && len(busy.Arrivals()) > 0
--- a/internal/edge/node/regions_test.go
+++ b/internal/edge/node/regions_test.go
@@ -18,11 +18,11 @@
 	f.settings = "[regions]\ndc = east\nwest = far\n"
 	routes := []platformtest.Route{}
 	for _, prefix := range []string{"/any/", "/far/", "/none/"} {
-		routes = append(routes, platformtest.Route{Prefix: prefix, Kind: "streaming", Service: "llm", Attempts: 2, Resume: true, Timeout: 5 * time.Second})
+		routes = append(routes, platformtest.Route{Prefix: prefix, Kind: "streaming", Service: "llm", MaxAttempts: 2, Resumable: true, Timeout: 5 * time.Second})
 	}
 	config := platformtest.Config(2, routes, []string{"llm"}, nil, map[string]string{"k": "ana"})
-	config = platformtest.Homes(config, 1, []string{"far"}, -1, nil)
-	config = platformtest.Homes(config, 2, []string{"far"}, -1, nil)
+	config = platformtest.WithHomes(config, 1, []string{"far"}, -1, nil)
+	config = platformtest.WithHomes(config, 2, []string{"far"}, -1, nil)
 	f.store.PutConfig(config)
 	a := f.start("127.0.51.1")
 	edgetest.Until(t, "the configuration", func() bool { return a.node.state.Version() == 2 })
@@ -37,7 +37,7 @@
 	assert.Equal(t, f.ran("dc"), before)
 
 	config = platformtest.Config(3, routes, []string{"llm"}, nil, map[string]string{"k": "ana"})
-	config = platformtest.Homes(config, 2, []string{"far"}, 0, []string{"east"})
+	config = platformtest.WithHomes(config, 2, []string{"far"}, 0, []string{"east"})
 	f.store.PutConfig(config)
 	edgetest.Until(t, "the next configuration", func() bool { return a.node.state.Version() == 3 })
 	west := f.ran("west")
--- a/internal/edge/node/returned_bench_test.go
+++ b/internal/edge/node/returned_bench_test.go
@@ -48,15 +48,15 @@
 		edgetest.Until(b, "ready", m.node.ready)
 	}
 	time.Sleep(returnSettled)
-	older := f.store.Copy()
+	older := f.store.Snapshot()
 	f.store.RemoveServer(f.servers[0].ID)
 	began := f.calls()
 	time.Sleep(returnWatched)
 	before := f.calls()
-	f.store.SetBack(older)
+	f.store.Restore(older)
 	time.Sleep(returnWritten)
 	f.store.RemoveServer(f.servers[0].ID)
-	f.store.PutConfig(platformtest.Config(2, []platformtest.Route{{Prefix: "/o/", Kind: "streaming", Service: "llm", Attempts: 2}}, []string{"llm"}, nil, map[string]string{"k": "ana"}))
+	f.store.PutConfig(platformtest.Config(2, []platformtest.Route{{Prefix: "/o/", Kind: "streaming", Service: "llm", MaxAttempts: 2}}, []string{"llm"}, nil, map[string]string{"k": "ana"}))
 	time.Sleep(returnWatched - returnWritten)
 	after := f.calls()
 	for name := range returnCalls {
--- a/internal/edge/node/returned_test.go
+++ b/internal/edge/node/returned_test.go
@@ -21,7 +21,7 @@
 	for i := range routers {
 		fleet = append(fleet, f.start(fmt.Sprintf("127.0.44.%d", i+1), fleet[:min(len(fleet), 3)]...))
 	}
-	older := f.store.Copy()
+	older := f.store.Snapshot()
 	f.store.RemoveServer(f.servers[0].ID)
 	all := func(what string, ok func(m *member) bool) {
 		t.Helper()
@@ -31,7 +31,7 @@
 	}
 	all("a server leaves", func(m *member) bool { return m.node.state.ServerCount() == fleetEngines-1 })
 	reads := f.store.Calls("/v1/rows-get")
-	f.store.SetBack(older)
+	f.store.Restore(older)
 	all("the return", func(m *member) bool { return m.node.state.Era() == 2 && m.node.state.Stamp().Era == 2 })
 	all("the list is as it was", func(m *member) bool { return m.node.state.ServerCount() == fleetEngines-1 })
 	f.store.RemoveServer(f.servers[0].ID)
@@ -39,12 +39,12 @@
 	assert.NilError(t, err)
 	t.Cleanup(fresh.Close)
 	f.store.PutServer(fresh, "ready")
-	f.store.PutConfig(platformtest.Config(2, []platformtest.Route{{Prefix: "/o/", Kind: "streaming", Service: "llm", Attempts: 2}}, []string{"llm"}, nil, map[string]string{"k": "ana"}))
+	f.store.PutConfig(platformtest.Config(2, []platformtest.Route{{Prefix: "/o/", Kind: "streaming", Service: "llm", MaxAttempts: 2}}, []string{"llm"}, nil, map[string]string{"k": "ana"}))
 	all("what is written after", func(m *member) bool {
 		return m.node.state.Version() == 2 && m.node.state.ServerCount() == fleetEngines
 	})
 	took := f.store.Calls("/v1/rows-get") - reads
 	t.Logf("%d reads", took)
 	assert.Assert(t, took <= 2*routers*pages, "%d reads", took)
-	edgetest.Until(t, "the routers are registered again", func() bool { return f.store.Count("windscale-routers") == routers })
+	edgetest.Until(t, "the routers are registered again", func() bool { return f.store.RowCount("windscale-routers") == routers })
 }
--- a/internal/edge/node/rollout_test.go
+++ b/internal/edge/node/rollout_test.go
@@ -35,7 +35,7 @@
 		assert.NilError(t, err)
 		t.Cleanup(s.Close)
 		s.Version = "v2"
-		s.Fail(wrong)
+		s.SetFault(wrong)
 		u.fresh = append(u.fresh, s)
 	}
 	for i := range routers {
@@ -124,7 +124,7 @@
 	}{
 		"it fails": {time.Millisecond, func(attempt string) platformtest.Fault {
 			if attempt[len(attempt)-1]%3 == 0 {
-				return platformtest.ServerFail
+				return platformtest.InternalError
 			}
 			return platformtest.NoFault
 		}},
--- a/internal/edge/node/slowstart_test.go
+++ b/internal/edge/node/slowstart_test.go
@@ -31,9 +31,9 @@
 	const perSecond = 6
 	f := newFleet(t, 50)
 	f.prompts = 16
-	config := platformtest.Config(2, []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", Attempts: 2, Resume: true, Timeout: 5 * time.Second}},
+	config := platformtest.Config(2, []platformtest.Route{{Prefix: "/s/", Kind: "streaming", Service: "llm", MaxAttempts: 2, Resumable: true, Timeout: 5 * time.Second}},
 		[]string{"llm"}, nil, map[string]string{"k": "ana"})
-	f.store.PutConfig(platformtest.SlowStart(config, 5*time.Second, perSecond))
+	f.store.PutConfig(platformtest.WithSlowStart(config, 5*time.Second, perSecond))
 	var fleet []*member
 	for _, ip := range []string{"127.0.50.1", "127.0.50.2", "127.0.50.3", "127.0.50.4"} {
 		fleet = append(fleet, f.start(ip, fleet...))
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -127,9 +127,9 @@
 	if s.path[1] == 's' || s.path[1] == 'o' {
 		prompt = fmt.Sprintf("p:200,s%d:3000,o%s:500", rng.IntN(20), s.id)
 	}
-	platformtest.Ask(req.Header, s.id, s.key, routeTimeout, prompt)
+	platformtest.SetRequestHeaders(req.Header, s.id, s.key, routeTimeout, prompt)
 	if rng.IntN(10) == 0 { // a caller that says what is not for it to say
-		platformtest.Claim(req.Header)
+		platformtest.SetForgedHeaders(req.Header)
 	}
 	c.all.Add(1)
 	begin := time.Now()
@@ -169,7 +169,7 @@
 	if c.calm && (err != nil && !errors.Is(err, context.Canceled) || resp.StatusCode == http.StatusBadGateway) {
 		c.fleet.verdicts.report(gracefulStop, "%s at %s: %d, %v", s.id, r.name, resp.StatusCode, err)
 	}
-	s.promised = platformtest.NotRun(resp.StatusCode)
+	s.promised = platformtest.IsNotExecuted(resp.StatusCode)
 	if resp.StatusCode == 401 || resp.StatusCode == 404 {
 		c.fleet.verdicts.report(inForce, "%s: %d at %s for a route and key of every version", s.id, resp.StatusCode, r.name)
 	}
@@ -180,7 +180,7 @@
 	if resp.StatusCode != 200 {
 		return
 	}
-	if platformtest.Sealed(resp.Header) == "" {
+	if platformtest.ServerSeal(resp.Header) == "" {
 		c.fleet.verdicts.report(ownWholeAnswer, "%s at %s: a success of no server", s.id, r.name)
 	}
 	if s.path[1] == 's' || s.path[1] == 'o' {
--- a/soak/check.go
+++ b/soak/check.go
@@ -83,7 +83,7 @@
 		return 0
 	}
 	req.Host = platformtest.Host
-	platformtest.Ask(req.Header, fmt.Sprintf("look-%d-%d", version, time.Now().UnixNano()), "key-a", time.Second, "")
+	platformtest.SetRequestHeaders(req.Header, fmt.Sprintf("look-%d-%d", version, time.Now().UnixNano()), "key-a", time.Second, "")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0
@@ -133,8 +133,8 @@
 	if run.Target != sent.path || run.Body != sent.body {
 		f.verdicts.report(serverIsPassed, "%s: %s with %d bytes, sent %s with %d", run.Attempt, run.Target, len(run.Body), sent.path, len(sent.body))
 	}
-	if len(run.Claimed) > 0 {
-		f.verdicts.report(claimsStay, "%s: %v", run.Attempt, run.Claimed)
+	if len(run.ForgedHeaders) > 0 {
+		f.verdicts.report(claimsStay, "%s: %v", run.Attempt, run.ForgedHeaders)
 	}
 	late := run.At.Sub(s.left)
 	if !s.left.IsZero() && late > drainBound && !f.storeWasTroubled(s.left) {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -171,22 +171,22 @@
 
 // storeTrouble makes the store fail, for all routers or for one.
 func (f *fleet) storeTrouble(x fault) {
-	trouble := platformtest.Trouble(x.How%4) + platformtest.Busy
+	trouble := platformtest.StoreFault(x.How%4) + platformtest.StoreUnavailable
 	defer f.trouble()()
-	f.store.Fail(func(*http.Request) platformtest.Trouble { return trouble })
+	f.store.SetFault(func(*http.Request) platformtest.StoreFault { return trouble })
 	time.Sleep(x.For)
-	f.store.Fail(nil)
+	f.store.SetFault(nil)
 }
 
 // storeLapse makes the store fail while all servers' entries lapse. They are
 // there again when it is back: its feed tells both changes in one answer.
 func (f *fleet) storeLapse(x fault) {
 	defer f.trouble()()
-	f.store.Fail(func(*http.Request) platformtest.Trouble { return platformtest.Busy })
+	f.store.SetFault(func(*http.Request) platformtest.StoreFault { return platformtest.StoreUnavailable })
 	f.entries(func(s *server) { f.store.RemoveServer(s.ID) })
 	time.Sleep(x.For)
 	f.entries(func(s *server) { f.store.PutServer(s.Server, s.state()) })
-	f.store.Fail(nil)
+	f.store.SetFault(nil)
 }
 
 // entries changes the entry of each server that has not left. The lock keeps a
@@ -219,24 +219,24 @@
 
 func (f *fleet) storeSlow(x fault) {
 	defer f.trouble()()
-	f.store.Slow(time.Duration(50+x.How*4) * time.Millisecond)
+	f.store.SetDelay(time.Duration(50+x.How*4) * time.Millisecond)
 	time.Sleep(x.For)
-	f.store.Slow(0)
+	f.store.SetDelay(0)
 }
 
 func (f *fleet) storeForgets(fault) {
 	defer f.trouble()()
-	f.store.Forget()
+	f.store.DropHistory()
 }
 
 // storeOlder has the store come back from a copy as old as the fault is long. What was
 // written since is gone, and is written again some moments later; then a change is seen as
 // soon as on a healthy store, and nothing has gone back.
 func (f *fleet) storeOlder(x fault) {
-	older := f.store.Copy()
+	older := f.store.Snapshot()
 	time.Sleep(x.For)
 	back := f.trouble()
-	f.store.SetBack(older)
+	f.store.Restore(older)
 	const step = 20 * time.Millisecond // up to 1.3 s
 	time.Sleep(time.Duration(x.How) * step)
 	f.writeAgain()
@@ -263,14 +263,14 @@
 	version := f.configure()
 	f.checkInForce(version)
 	defer f.trouble()()
-	f.store.Stale(true)
-	f.store.Forget()
+	f.store.SetStale(true)
+	f.store.DropHistory()
 	for end := time.Now().Add(x.For); time.Now().Before(end); {
 		for _, r := range f.routers {
 			f.checkStays(r, version)
 		}
 	}
-	f.store.Stale(false)
+	f.store.SetStale(false)
 }
 
 // cut harms one router's way to the store, both ways or one.
@@ -313,15 +313,15 @@
 	if s == nil {
 		return
 	}
-	how := platformtest.Fault(x.How%int(platformtest.Unframed)) + 1
-	s.Fail(func(attempt string) platformtest.Fault {
+	how := platformtest.Fault(x.How%int(platformtest.CloseDelimited)) + 1
+	s.SetFault(func(attempt string) platformtest.Fault {
 		if len(attempt) > 0 && attempt[len(attempt)-1]%2 == 0 {
 			return how
 		}
 		return platformtest.NoFault
 	})
 	time.Sleep(x.For)
-	s.Fail(nil)
+	s.SetFault(nil)
 }
 
 // link harms the connections of a server.
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -154,10 +154,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Listed = p.addr()
-	s.Crashes = isGuilty
+	s.ListedAddr = p.addr()
+	s.CrashOn = isGuilty
 	out := &server{Server: s, proxy: p}
-	s.Crashed = func() { f.ended(out) }
+	s.OnCrash = func() { f.ended(out) }
 	f.servers = append(f.servers, out)
 	f.store.PutServer(s, "ready")
 	return out, nil
@@ -170,7 +170,7 @@
 	defer f.mu.Unlock()
 	f.version++
 	route := func(prefix, kind, service string, attempts int, resume bool) platformtest.Route {
-		return platformtest.Route{Prefix: prefix, Kind: kind, Service: service, Attempts: attempts, Resume: resume, Timeout: routeTimeout}
+		return platformtest.Route{Prefix: prefix, Kind: kind, Service: service, MaxAttempts: attempts, Resumable: resume, Timeout: routeTimeout}
 	}
 	routes := []platformtest.Route{
 		route("/s/", "streaming", "llm", 2, true),
@@ -184,7 +184,7 @@
 	for i := range f.extra {
 		routes = append(routes, route(fmt.Sprintf("/extra/%d/", i), "safe", "app", 2, false))
 	}
-	f.config = platformtest.SlowStart(platformtest.Config(f.version, routes, []string{"llm"}, []string{"app"}, keys), warmup, coldPerS)
+	f.config = platformtest.WithSlowStart(platformtest.Config(f.version, routes, []string{"llm"}, []string{"app"}, keys), warmup, coldPerS)
 	f.store.PutConfig(f.config)
 	return f.version
 }
@@ -350,7 +350,7 @@
 	for _, r := range f.routers {
 		r.store.close()
 	}
-	f.store.Fail(nil)
+	f.store.SetFault(nil)
 	f.storeHTTP.CloseClientConnections()
 	f.storeHTTP.Close()
 	for _, s := range f.servers {
--- a/soak/lives.go
+++ b/soak/lives.go
@@ -97,7 +97,7 @@
 		return // the address is our own
 	}
 	req.Host = platformtest.Host
-	platformtest.Ask(req.Header, attempt, key, time.Second, "aa:3000,bb:500")
+	platformtest.SetRequestHeaders(req.Header, attempt, key, time.Second, "aa:3000,bb:500")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -105,14 +105,14 @@
 		return
 	}
 	s.SetBackoff(time.Second + x.For)
-	s.Fail(func(attempt string) platformtest.Fault {
+	s.SetFault(func(attempt string) platformtest.Fault {
 		if len(attempt) > 0 && attempt[len(attempt)-1]%2 == 0 {
-			return platformtest.Full
+			return platformtest.Overloaded
 		}
 		return platformtest.NoFault
 	})
 	time.Sleep(x.For)
-	s.Fail(nil)
+	s.SetFault(nil)
 	s.SetBackoff(0)
 }
 
--- a/soak/warm.go
+++ b/soak/warm.go
@@ -42,14 +42,14 @@
 	f.mu.Lock()
 	f.troubled = time.Now().Add(time.Hour)
 	f.mu.Unlock()
-	f.store.Evacuate(s.Centre)
+	f.store.Evacuate(s.DataCentre)
 	begin := time.Now()
 	time.Sleep(evacBound + x.For)
 	end := time.Now()
-	f.store.TakeBack(s.Centre)
+	f.store.EndEvacuation(s.DataCentre)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.evacuations = append(f.evacuations, evacuation{s.Centre, span{begin, end}})
+	f.evacuations = append(f.evacuations, evacuation{s.DataCentre, span{begin, end}})
 	f.troubled = time.Now()
 }
 
@@ -90,7 +90,7 @@
 func (f *fleet) checkEvacuated(s *server, run platformtest.Run) {
 	for _, e := range f.evacuations {
 		late := run.At.Sub(e.from)
-		if e.dataCentre == s.Centre && late > evacBound && run.At.Before(e.to) && !f.storeWasTroubled(e.from) {
+		if e.dataCentre == s.DataCentre && late > evacBound && run.At.Before(e.to) && !f.storeWasTroubled(e.from) {
 			f.verdicts.report(evacuated, "%s reached %s %s after its evacuation", run.Attempt, s.ID, late.Round(time.Millisecond))
 		}
 	}
