--- a/internal/edge/follow/follow.go
+++ b/internal/edge/follow/follow.go
@@ -50,7 +50,7 @@
 	FollowConfig(ctx context.Context, after roster.Stamp, wait time.Duration) (platform.Change, error)
 	ReadServers(ctx context.Context) (platform.Change, error)
 	FollowServers(ctx context.Context, after roster.Stamp, wait time.Duration) (platform.Change, error)
-	ReadBlocked(ctx context.Context) ([]poison.Record, []platform.BadRow, error)
+	ReadBlocked(ctx context.Context) ([]poison.Record, []platform.MalformedRow, error)
 	ReadRollout(ctx context.Context, service string) (platform.StoredRollout, error)
 	WriteRollout(ctx context.Context, r rollout.Record, ver uint64) (uint64, error)
 	WriteBlocked(ctx context.Context, write []poison.Record, remove []routing.ContentHash) ([]poison.Record, []routing.ContentHash, error)
@@ -140,7 +140,7 @@
 	switch {
 	case c.Config != nil:
 		f.storedVersion = c.Config.Version
-	case whole && !c.ConfigBad:
+	case whole && !c.ConfigMalformed:
 		f.storedVersion = 0
 	case whole:
 		f.storedVersion = f.State.Version() // the row exists, but its version can't be read
@@ -148,7 +148,7 @@
 	if f.storedVersion >= f.State.Version() {
 		f.State.ConfirmConfig(age)
 	}
-	if c.Config != nil && f.State.ApplyConfig(c.Config, c.Raw) {
+	if c.Config != nil && f.State.ApplyConfig(c.Config, c.RawConfig) {
 		events.ConfigInForce.Log(context.Background(), f.Log, slog.LevelInfo, "version", c.Config.Version, "from", "store",
 			"routes", len(c.Config.Routes), "customers", len(c.Config.Customers))
 	}
@@ -157,29 +157,29 @@
 
 // applyEvacuations applies the set of evacuated data centres, or its changes.
 func (f *Follower) applyEvacuations(c platform.Change, whole bool) {
-	change := f.State.ApplyEvacuations(c.Evacuated, c.TakenBack, whole, c.At)
-	change.Log(f.Log, "store", c.At)
+	change := f.State.ApplyEvacuations(c.Evacuated, c.EndedEvacuations, whole, c.Stamp)
+	change.Log(f.Log, "store", c.Stamp)
 }
 
 // applyServers applies the list of servers, or its changes. It reports false if the list is
 // outdated.
 func (f *Follower) applyServers(c platform.Change, whole bool, _ time.Duration) bool {
 	if whole {
-		if !f.State.ReplaceServers(c.Servers, c.At, false) {
+		if !f.State.ReplaceServers(c.Servers, c.Stamp, false) {
 			return false
 		}
 	} else {
-		f.State.ApplyServerChanges(c.Servers, c.Gone, c.At)
+		f.State.ApplyServerChanges(c.Servers, c.Removed, c.Stamp)
 	}
-	for _, row := range c.Bad {
-		f.State.RemoveUnusableServer(row.Key, c.At)
+	for _, row := range c.Malformed {
+		f.State.RemoveUnusableServer(row.Key, c.Stamp)
 	}
 	for _, s := range c.Servers {
 		events.ServersChanged.Log(context.Background(), f.Log, slog.LevelInfo, "server", s.ID, "service", s.Service,
-			"ready", s.AcceptsRequests(), "addr", s.Addr, "born", s.Born, "era", c.At.Era, "ver", c.At.Version)
+			"ready", s.AcceptsRequests(), "addr", s.Addr, "born", s.Born, "era", c.Stamp.Era, "ver", c.Stamp.Version)
 	}
-	for _, id := range c.Gone {
-		events.ServersChanged.Log(context.Background(), f.Log, slog.LevelInfo, "server", id, "gone", true, "era", c.At.Era, "ver", c.At.Version)
+	for _, id := range c.Removed {
+		events.ServersChanged.Log(context.Background(), f.Log, slog.LevelInfo, "server", id, "gone", true, "era", c.Stamp.Era, "ver", c.Stamp.Version)
 	}
 	return true
 }
@@ -222,7 +222,7 @@
 		}
 		f.observeEra(s, &position, c, err)
 		if err != nil {
-			if errorKind(err) == platform.KindHistory {
+			if errorKind(err) == platform.KindHistoryDropped {
 				events.StoreHistory.Log(ctx, f.Log, slog.LevelInfo, "what", s.name, "after", position.at.Version)
 				position.known = false
 				historyMissing = true // the next read is of the whole source
@@ -241,7 +241,7 @@
 		}
 		if lost {
 			lost = false
-			events.StoreRegained.Log(ctx, f.Log, slog.LevelInfo, "what", s.name, "ver", c.At.Version)
+			events.StoreRegained.Log(ctx, f.Log, slog.LevelInfo, "what", s.name, "ver", c.Stamp.Version)
 		}
 		if position.known && f.Now().Sub(began) > wait(role)+maxLatency {
 			s.stop() // the store may have been unreachable in the meantime
@@ -249,11 +249,11 @@
 		s.up()
 		pause = minBackoff
 		f.reportBadRows(badRows, s.name, c, !position.known)
-		if position.at.After(c.At) || !s.apply(c, !position.known, confirmationAge(c, role, position.known, f.Now().Sub(began))) {
+		if position.at.After(c.Stamp) || !s.apply(c, !position.known, confirmationAge(c, role, position.known, f.Now().Sub(began))) {
 			sleep(ctx, minBackoff) // the answer is outdated: read again
 			continue
 		}
-		position.at = c.At
+		position.at = c.Stamp
 		if !position.known {
 			position.known = true
 			historyMissing = false
@@ -270,7 +270,7 @@
 	era := eraOf(c, err)
 	if before, restored := f.State.ObserveEra(era); restored {
 		events.StoreReturned.Log(context.Background(), f.Log, slog.LevelWarn, "from", "store", "what", s.name, "before", before, "era", era,
-			"ver", c.At.Version, "config", f.State.Version(), "servers", f.State.ServerCount())
+			"ver", c.Stamp.Version, "config", f.State.Version(), "servers", f.State.ServerCount())
 	}
 	if now := f.State.Era(); now > position.at.Era {
 		position.at = roster.Stamp{Era: now}
@@ -284,7 +284,7 @@
 	if errors.As(err, &e) {
 		return e.Era
 	}
-	return c.At.Era
+	return c.Stamp.Era
 }
 
 // reportBadRows logs and counts the rows that have become bad. known holds the rows that already
@@ -292,13 +292,13 @@
 func (f *Follower) reportBadRows(known map[string]bool, what string, c platform.Change, whole bool) {
 	if whole {
 		maps.DeleteFunc(known, func(key string, _ bool) bool {
-			return !slices.ContainsFunc(c.Bad, func(row platform.BadRow) bool { return row.Key == key })
+			return !slices.ContainsFunc(c.Malformed, func(row platform.MalformedRow) bool { return row.Key == key })
 		})
 	}
-	for _, key := range c.Good {
+	for _, key := range c.Valid {
 		delete(known, key)
 	}
-	for _, row := range c.Bad {
+	for _, row := range c.Malformed {
 		if known[row.Key] {
 			continue
 		}
@@ -314,8 +314,8 @@
 		return s.follow(ctx, position.at, wait(role))
 	}
 	c, err := s.read(ctx)
-	if err == nil && c.At.Era == 0 {
-		c.At.Era = f.State.Era() // the answer has no era: use the known one
+	if err == nil && c.Stamp.Era == 0 {
+		c.Stamp.Era = f.State.Era() // the answer has no era: use the known one
 	}
 	return c, err
 }
@@ -335,7 +335,7 @@
 	switch {
 	case !known:
 		return took
-	case len(c.Servers)+len(c.Gone) > 0 || c.Config != nil:
+	case len(c.Servers)+len(c.Removed) > 0 || c.Config != nil:
 		return 0 // it carries a change, however late
 	}
 	return max(0, took-wait(role))
--- a/internal/edge/follow/rollouts.go
+++ b/internal/edge/follow/rollouts.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return false
 	}
-	task.ver, task.clock = stored.Ver, stored.Now
+	task.ver, task.clock = stored.RowVersion, stored.StoreTime
 	r, _ := f.State.Rollout(task.order.Service)
 	if !stored.Found || r.Order.NewerThan(stored.Record.Order) {
 		f.confirmRollout(r, task.readAt.Sub(began)) // the store has no row of this order yet
@@ -162,7 +162,7 @@
 // applyOrders applies orders of the operator.
 func (f *Follower) applyOrders(c platform.Change) {
 	for _, o := range c.Orders {
-		o.Stamp.Era = c.At.Era
+		o.Stamp.Era = c.Stamp.Era
 		if f.State.ApplyOrder(o) {
 			state.LogRollout(f.Log, rollout.Record{Order: o}, "operator")
 		}
--- a/internal/edge/node/poison_test.go
+++ b/internal/edge/node/poison_test.go
@@ -41,13 +41,13 @@
 func crashOnPoison(f *fleet) *atomic.Int64 {
 	var crashes atomic.Int64
 	for _, s := range f.servers {
-		s.Fail(func(attempt string) platformtest.Fault {
+		s.SetFault(func(attempt string) platformtest.Fault {
 			if strings.HasPrefix(attempt, poisonous) {
 				return platformtest.Crash
 			}
 			return platformtest.NoFault
 		})
-		s.Crashed = func() {
+		s.OnCrash = func() {
 			crashes.Add(1)
 			// If another process has taken the address meanwhile, the fleet has one server
 			// fewer.
--- a/internal/edge/node/rollout_test.go
+++ b/internal/edge/node/rollout_test.go
@@ -36,7 +36,7 @@
 		assert.NilError(t, err)
 		t.Cleanup(s.Close)
 		s.Version = "v2"
-		s.Fail(fault)
+		s.SetFault(fault)
 		u.newServers = append(u.newServers, s)
 	}
 	for i := range routers {
@@ -125,7 +125,7 @@
 	}{
 		"failing": {time.Millisecond, func(attempt string) platformtest.Fault {
 			if attempt[len(attempt)-1]%3 == 0 {
-				return platformtest.ServerFail
+				return platformtest.InternalError
 			}
 			return platformtest.NoFault
 		}},
--- a/internal/edge/node/storerestore_bench_test.go
+++ b/internal/edge/node/storerestore_bench_test.go
@@ -51,15 +51,15 @@
 		edgetest.Until(b, "ready", m.node.ready)
 	}
 	time.Sleep(restoreSettleTime)
-	backup := f.store.Copy()
+	backup := f.store.Snapshot()
 	f.store.RemoveServer(f.servers[0].ID)
 	callsAtStart := f.storeCalls()
 	time.Sleep(restoreWindow)
 	callsAtRestore := f.storeCalls()
-	f.store.SetBack(backup)
+	f.store.Restore(backup)
 	time.Sleep(restoreWriteDelay)
 	f.store.RemoveServer(f.servers[0].ID)
-	f.store.PutConfig(platformtest.Config(2, []platformtest.Route{{Prefix: "/o/", Kind: "streaming", Service: "llm", Attempts: 2}}, []string{"llm"}, nil, map[string]string{"k": "ana"}))
+	f.store.PutConfig(platformtest.Config(2, []platformtest.Route{{Prefix: "/o/", Kind: "streaming", Service: "llm", MaxAttempts: 2}}, []string{"llm"}, nil, map[string]string{"k": "ana"}))
 	time.Sleep(restoreWindow - restoreWriteDelay)
 	callsAtEnd := f.storeCalls()
 	for name := range storeCallPaths {
