--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,6 +1,7 @@
-// Package problem writes the refusals that callers see, as RFC 9457 problem
-// documents: all but net/http's own, of what is no request. Its types are
-// stable: callers may act on them. They are listed in docs/PROBLEMS.md.
+// Package problem writes error responses to callers as RFC 9457 problem
+// documents. The only error responses not written here are net/http's own, for
+// input that is not a valid HTTP request. The problem types are stable, since
+// callers may depend on them; docs/PROBLEMS.md lists them.
 package problem
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// The headers of a problem answer.
+// Headers of a problem response.
 const (
 	HeaderRun     = "Windscale-Run"     // "no" or "unknown"
 	HeaderRequest = "Windscale-Request" // the request's ID
@@ -23,7 +24,7 @@
 	contentType = "application/problem+json"
 )
 
-// Type is one kind of refusal.
+// Type is a problem type.
 type Type struct {
 	Name   string // the last part of the URN
 	Status int    // HTTP status
@@ -33,13 +34,13 @@
 // URN returns the type's stable identifier.
 func (t Type) URN() string { return typePrefix + t.Name }
 
-// Error is a refusal on its way up to where it is written.
+// Error carries a problem type up to the code that writes the response.
 type Error struct{ Type Type }
 
 // Error implements error.
 func (e *Error) Error() string { return e.Type.Title }
 
-// The kinds of refusal.
+// The problem types.
 var (
 	BadRequest        = Type{"bad-request", 400, "The request is malformed"}
 	BadTimeout        = Type{"bad-timeout", 400, "Windscale-Timeout is not a positive duration"}
@@ -78,17 +79,18 @@
 	ServerRefused, ClaimsUnavailable, ClaimLapsed, NotReady, Deadline,
 }
 
-// Info is what a problem document says beside its type.
+// Info holds the details of a problem response other than its type.
 type Info struct {
-	// Outcome is what is known of the request. The zero value is reported as
-	// "unknown", so that a forgotten outcome is never a false "not run".
+	// Outcome is what is known about the request's execution. The zero value
+	// is reported as "unknown", so that an outcome left unset never wrongly
+	// claims that the request has not run.
 	Outcome    attempt.Outcome
-	RetryAfter time.Duration // when to come back; 0: not said
-	Detail     string        // for a person; never secret
+	RetryAfter time.Duration // delay before a retry; 0: header omitted
+	Detail     string        // human-readable; must not contain secrets
 	Request    msg.RequestID // may be empty
 }
 
-// document is the wire form.
+// document is the JSON body of a problem response.
 type document struct {
 	Type     string `json:"type"`
 	Title    string `json:"title"`
@@ -104,7 +106,7 @@
 }
 
 // Write sends the problem as the complete response. Nothing may have been written
-// to w before. Headers that belong to another answer are removed.
+// to w before. Headers already set for another response are removed.
 func Write(w http.ResponseWriter, t Type, info Info) {
 	doc := document{Type: t.URN(), Title: t.Title, Status: t.Status, Detail: info.Detail}
 	h := w.Header()
@@ -125,7 +127,7 @@
 		h.Set("Retry-After", strconv.Itoa(retrySeconds(info.RetryAfter)))
 	}
 	w.WriteHeader(t.Status)
-	_, _ = w.Write(body) // the caller may be gone
+	_, _ = w.Write(body) // the caller may have disconnected
 }
 
 // retrySeconds rounds up to whole seconds, the unit of Retry-After.
--- a/internal/problem/problem_test.go
+++ b/internal/problem/problem_test.go
@@ -14,7 +14,8 @@
 	"github.com/windscale/windscale/internal/core/attempt"
 )
 
-// The page lists exactly the types there are, with their statuses and titles.
+// docs/PROBLEMS.md must list every problem type, in order, with its status and
+// title, and no others.
 func TestPageListsEveryType(t *testing.T) {
 	page, err := os.ReadFile("../../docs/PROBLEMS.md")
 	assert.NilError(t, err)
@@ -29,7 +30,7 @@
 	assert.DeepEqual(t, listed, have)
 }
 
-func TestWriteSaysWhatIsKnown(t *testing.T) {
+func TestWriteHeadersAndBody(t *testing.T) {
 	for _, c := range []struct {
 		outcome attempt.Outcome
 		run     string
