--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,7 @@
-// Package dispatch is the seam between the entry, which holds callers'
-// requests, and the sharing of backend servers' slots. The entry acquires a
-// Slot for a request, runs it on the slot's server, and ends the slot.
+// Package dispatch defines the interface between the entry, which holds
+// callers' requests, and the scheduler, which allocates backend servers' slots.
+// The entry acquires a Slot for a request, runs the request on the slot's
+// server, and ends the slot.
 package dispatch
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/windscale/windscale/internal/core/msg"
 )
 
-// Request is what the sharing needs to know of a request.
+// Request describes a request to the scheduler.
 type Request struct {
 	ID       msg.RequestID
 	Pool     msg.PoolID
@@ -22,17 +23,17 @@
 	Limits   Limits
 }
 
-// Limits bound a customer's use of the entry it came in by.
+// Limits bound a customer's use of one router's entry.
 type Limits struct {
 	QueueLen    int           // requests waiting, per customer and router
-	QueueTime   time.Duration // longest wait
+	QueueTime   time.Duration // maximum wait in the queue
 	Concurrency int           // requests running, per customer and router; 0: no limit
 }
 
-// Picker hands out slots. The entry calls it from each request's goroutine.
+// Picker allocates slots. The entry calls it from each request's goroutine.
 type Picker interface {
-	// Acquire waits until a slot is granted to the request, the request's
-	// queue time is over or ctx ends. Its errors are *Refusal; a refused
+	// Acquire waits until the request is granted a slot, its queue time
+	// expires or ctx ends. Its errors are *Refusal; a refused
 	// request has not run.
 	Acquire(ctx context.Context, r Request) (Slot, error)
 }
@@ -42,36 +43,36 @@
 // blocks.
 type Slot interface {
 	Server() Server
-	Progress(cost msg.Cost) // total cost so far
+	Progress(cost msg.Cost) // cumulative cost so far
 	End(Result)
 }
 
-// Server is where the slot is.
+// Server identifies the backend server that a slot belongs to.
 type Server struct {
 	ID   msg.ServerID
 	Addr string // IP:port
 }
 
-// Result is what came of the slot.
+// Result is the outcome of using a slot.
 type Result struct {
 	Outcome attempt.Outcome
 	Cost    msg.Cost      // total cost
-	First   time.Duration // to the first token or byte; 0: none came
+	First   time.Duration // time to the first token or byte; 0: none arrived
 	Total   time.Duration
-	Leaving bool // the server said it is leaving, or could not be dialled
-	Busy    bool // the server refused for overload
+	Leaving bool // the server reported that it is leaving, or could not be dialled
+	Busy    bool // the server refused the request because of overload
 }
 
-// Reason says why no slot was had.
+// Reason is why no slot was granted.
 type Reason int
 
 // The reasons of a Refusal.
 const (
 	QueueFull    Reason = iota + 1 // the customer's queue is full
 	RouterFull                     // the router holds all the waiting requests it may
-	QueueTimeout                   // waited the longest time
+	QueueTimeout                   // the request waited for the maximum queue time
 	NoServer                       // no server is known for the pool
-	CallerGone                     // the context ended: the caller went, or its time is over
+	CallerGone                     // the context ended: the caller disconnected or its deadline passed
 )
 
 var reasonNames = map[Reason]string{
@@ -88,7 +89,7 @@
 // Refusal is the error of Acquire. The request has not run.
 type Refusal struct {
 	Reason     Reason
-	RetryAfter time.Duration // when to come back; 0: not known
+	RetryAfter time.Duration // delay before a retry; 0: unknown
 }
 
 // Error implements error.
