--- a/internal/edge/front/answer.go
+++ b/internal/edge/front/answer.go
@@ -137,7 +137,7 @@
 	control := http.NewResponseController(q.w)
 	count := 0
 	for {
-		ev, err := events.Next()
+		event, err := events.Next()
 		if err == io.EOF {
 			return x.finishStream(a, count)
 		}
@@ -154,18 +154,18 @@
 		}
 		count++
 		x.resetWatchdog(maxEventGap(q.route))
-		if alreadySent(ev.ID, q.lastEventID) {
+		if alreadySent(event.ID, q.lastEventID) {
 			continue
 		}
 		if !q.headerSent {
 			x.writeHeader(a, 0, false)
 		}
-		if err := x.writeEvent(control, ev); err != nil {
+		if err := x.writeEvent(control, event); err != nil {
 			a.Close()
 			return x.handleCallerGone(err)
 		}
-		if ev.ID != "" {
-			q.lastEventID = ev.ID
+		if event.ID != "" {
+			q.lastEventID = event.ID
 		}
 	}
 }
--- a/internal/edge/front/cancel.go
+++ b/internal/edge/front/cancel.go
@@ -11,19 +11,19 @@
 	cancels map[*request]context.CancelFunc
 }
 
-func (f *cancelRegistry) add(q *request, cancel context.CancelFunc) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.cancels == nil {
-		f.cancels = map[*request]context.CancelFunc{}
+func (r *cancelRegistry) add(q *request, cancel context.CancelFunc) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.cancels == nil {
+		r.cancels = map[*request]context.CancelFunc{}
 	}
-	f.cancels[q] = cancel
+	r.cancels[q] = cancel
 }
 
-func (f *cancelRegistry) remove(q *request) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.cancels, q)
+func (r *cancelRegistry) remove(q *request) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.cancels, q)
 }
 
 // CancelExpired cancels the requests whose deadline passed while the host was suspended. System
--- a/internal/edge/front/customerload.go
+++ b/internal/edge/front/customerload.go
@@ -23,35 +23,35 @@
 	total  int
 }
 
-func (p *customerLoad) add(customer string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.counts[customer]++
-	p.total++
+func (l *customerLoad) add(customer string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.counts[customer]++
+	l.total++
 }
 
-func (p *customerLoad) remove(customer string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.total--
-	if p.counts[customer]--; p.counts[customer] == 0 {
-		delete(p.counts, customer)
+func (l *customerLoad) remove(customer string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.total--
+	if l.counts[customer]--; l.counts[customer] == 0 {
+		delete(l.counts, customer)
 	}
 }
 
 // isMajority reports whether the customer has the majority of this host's requests.
-func (p *customerLoad) isMajority(customer string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.reachesMajority(p.counts[customer])
+func (l *customerLoad) isMajority(customer string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.reachesMajority(l.counts[customer])
 }
 
 // anyMajority reports whether some customer has the majority of this host's requests.
-func (p *customerLoad) anyMajority() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, count := range p.counts {
-		if p.reachesMajority(count) {
+func (l *customerLoad) anyMajority() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, count := range l.counts {
+		if l.reachesMajority(count) {
 			return true
 		}
 	}
@@ -59,14 +59,14 @@
 }
 
 // reachesMajority reports whether count requests are the majority. The caller holds the lock.
-func (p *customerLoad) reachesMajority(count int) bool {
-	return count >= majorityMinimum && float64(count) >= majorityFraction*float64(p.total)
+func (l *customerLoad) reachesMajority(count int) bool {
+	return count >= majorityMinimum && float64(count) >= majorityFraction*float64(l.total)
 }
 
 // dominates reports whether the customer has at least dominantFraction of the requests in flight.
-func (p *customerLoad) dominates(customer string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	count := p.counts[customer]
-	return count > 0 && float64(count) >= dominantFraction*float64(p.total)
+func (l *customerLoad) dominates(customer string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	count := l.counts[customer]
+	return count > 0 && float64(count) >= dominantFraction*float64(l.total)
 }
--- a/internal/edge/front/customerload_test.go
+++ b/internal/edge/front/customerload_test.go
@@ -85,14 +85,14 @@
 	defer func() { _ = conn.Close() }()
 	r, err := http.NewRequestWithContext(WithConn(context.Background(), conn), http.MethodPost, "/", nil)
 	assert.NilError(t, err)
-	old := &request{h: New(Config{}), r: r, received: time.Now().Add(-2 * recheckAge)}
-	assert.Assert(t, !old.disconnectedWhileWaiting())
+	waited := &request{h: New(Config{}), r: r, received: time.Now().Add(-2 * recheckAge)}
+	assert.Assert(t, !waited.disconnectedWhileWaiting())
 	assert.NilError(t, caller.Close())
-	for !old.disconnectedWhileWaiting() {
+	for !waited.disconnectedWhileWaiting() {
 		time.Sleep(time.Millisecond) // limited by the test timeout
 	}
-	old.headerSent = true
-	assert.Assert(t, !old.disconnectedWhileWaiting(), "not checked once the response has begun")
-	young := &request{h: New(Config{}), r: r, received: time.Now().Add(time.Hour)}
-	assert.Assert(t, !young.disconnectedWhileWaiting())
+	waited.headerSent = true
+	assert.Assert(t, !waited.disconnectedWhileWaiting(), "not checked once the response has begun")
+	recent := &request{h: New(Config{}), r: r, received: time.Now().Add(time.Hour)}
+	assert.Assert(t, !recent.disconnectedWhileWaiting())
 }
--- a/internal/edge/front/earlyrejection.go
+++ b/internal/edge/front/earlyrejection.go
@@ -54,35 +54,35 @@
 // Reject refuses the connection's request if it has arrived completely and this host has no
 // capacity for it. Otherwise it returns the bytes that it has read, which the connection's server
 // must process first. noRoom means that the connection limit is reached.
-func (s *EarlyRejecter) Reject(c Arrival, noRoom bool) (read []byte, verdict Verdict) {
-	n, err := c.ReadArrived(s.buf)
+func (e *EarlyRejecter) Reject(c Arrival, noRoom bool) (read []byte, verdict Verdict) {
+	n, err := c.ReadArrived(e.buf)
 	if err != nil {
 		return nil, Rejected
 	}
-	r := s.parseComplete(n)
+	r := e.parseComplete(n)
 	if r == nil {
-		return bytes.Clone(s.buf[:n]), Undecided
+		return bytes.Clone(e.buf[:n]), Undecided
 	}
-	q := &request{h: s.h, r: r, meta: s.h.Headers.Ask(r.Header), received: s.h.Now()}
+	q := &request{h: e.h, r: r, meta: e.h.Headers.Ask(r.Header), received: e.h.Now()}
 	if refusal := q.admitOrRefuse(noRoom); refusal != nil {
 		q.recordRefusal(refusal)
-		s.out.Reset(c)
-		_ = q.writeRawRefusal(s.out, refusal) // fails only if the caller has disconnected
+		e.out.Reset(c)
+		_ = q.writeRawRefusal(e.out, refusal) // fails only if the caller has disconnected
 		return nil, Rejected
 	}
-	return bytes.Clone(s.buf[:n]), Admitted
+	return bytes.Clone(e.buf[:n]), Admitted
 }
 
 // parseComplete parses the request from the n bytes that have arrived. It returns nil if the
 // request is incomplete or invalid.
-func (s *EarlyRejecter) parseComplete(n int) *http.Request {
+func (e *EarlyRejecter) parseComplete(n int) *http.Request {
 	if n == 0 {
 		return nil
 	}
-	s.data.Reset(s.buf[:n])
-	s.in.Reset(&s.data)
-	r, err := http.ReadRequest(s.in)
-	if err != nil || r.ContentLength != int64(s.in.Buffered()+s.data.Len()) {
+	e.data.Reset(e.buf[:n])
+	e.in.Reset(&e.data)
+	r, err := http.ReadRequest(e.in)
+	if err != nil || r.ContentLength != int64(e.in.Buffered()+e.data.Len()) {
 		return nil
 	}
 	return r
--- a/internal/edge/front/poison_test.go
+++ b/internal/edge/front/poison_test.go
@@ -72,9 +72,9 @@
 	engines, _ := r.servers(8)
 	for range 2 * poison.CrashesToBlock {
 		failOnce(engines, platformtest.CutAnswer)
-		broken := r.call(context.Background(), "POST", "/o/x", "k", "asked again and again")
+		broken := r.call(context.Background(), "POST", "/o/x", "k", "repeated content")
 		assert.Assert(t, broken.err != nil || broken.status == 502, "%d", broken.status)
-		assert.Equal(t, r.call(context.Background(), "POST", "/o/x", "k", "asked again and again").status, 200)
+		assert.Equal(t, r.call(context.Background(), "POST", "/o/x", "k", "repeated content").status, 200)
 	}
 	assert.Assert(t, strings.Contains(r.log.String(), `"event":350`))
 }
--- a/internal/edge/front/watchdog_test.go
+++ b/internal/edge/front/watchdog_test.go
@@ -76,17 +76,17 @@
 func TestSilentServerIsLeftOnlyWithRetryBudget(t *testing.T) {
 	cancelled := 0
 	_, begin := newWatchedHandler(t, func() time.Duration { return 0 }, func() { cancelled++ })
-	var all []*exchange
+	var exchanges []*exchange
 	for range 5 {
-		all = append(all, begin())
+		exchanges = append(exchanges, begin())
 	}
-	for _, x := range all {
+	for _, x := range exchanges {
 		x.setDueAgo(0)
 		x.handleSilence(time.Hour, true)
 	}
 	assert.Equal(t, cancelled, 1, "the budget allows one retry")
 	retries := 0
-	for _, x := range all {
+	for _, x := range exchanges {
 		if !x.retryReserved.isSet() {
 			continue
 		}
--- a/internal/edge/meter/meter.go
+++ b/internal/edge/meter/meter.go
@@ -64,14 +64,14 @@
 // namespace is the prefix of every metric name.
 const namespace = "windscale_edge"
 
-func counter(name, help string, labels ...string) *prometheus.CounterVec {
-	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
+func counter(name, help string, labelNames ...string) *prometheus.CounterVec {
+	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labelNames)
 }
 
-func histogram(name, help string, labels ...string) *prometheus.HistogramVec {
+func histogram(name, help string, labelNames ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: namespace, Name: name, Help: help, Buckets: latencyBuckets,
-	}, labels)
+	}, labelNames)
 }
 
 // Gauge registers a gauge whose value is read at each scrape.
--- a/internal/edge/meter/series.go
+++ b/internal/edge/meter/series.go
@@ -15,11 +15,11 @@
 }
 
 // Describe implements prometheus.Collector.
-func (s *labelledGauge) Describe(ch chan<- *prometheus.Desc) { ch <- s.desc }
+func (g *labelledGauge) Describe(ch chan<- *prometheus.Desc) { ch <- g.desc }
 
 // Collect implements prometheus.Collector.
-func (s *labelledGauge) Collect(ch chan<- prometheus.Metric) {
-	s.collect(func(value float64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(s.desc, prometheus.GaugeValue, value, labels...)
+func (g *labelledGauge) Collect(ch chan<- prometheus.Metric) {
+	g.collect(func(value float64, labels ...string) {
+		ch <- prometheus.MustNewConstMetric(g.desc, prometheus.GaugeValue, value, labels...)
 	})
 }
