--- a/internal/edge/node/flood_test.go
+++ b/internal/edge/node/flood_test.go
@@ -66,7 +66,7 @@
 	h.occupy(t)
 	before := h.accepted.Load()
 	var admitted []callerConn
-	for h.probe.Expected() < pressure.Overloaded {
+	for h.probe.ExpectedWait() < pressure.Overloaded {
 		c := h.open(t)
 		h.backlog <- c.host
 		admitted = append(admitted, c)
@@ -150,9 +150,9 @@
 	s.ConfirmConfig(0)
 	handler := front.New(front.Config{
 		State: s, Pool: upstream.NewPool(time.Now), Headers: platform.Headers{}, Log: slog.New(slog.DiscardHandler),
-		MaxHeld: 8 << 20, MaxRunning: 400, Meter: meter.New(),
+		MaxBufferedBytes: 8 << 20, MaxInFlight: 400, Meter: meter.New(),
 		ProcessorWait: func() time.Duration { return time.Duration(h.wait.Load()) }, NearConnLimit: func() bool { return false },
-		ExpectedWait: func() time.Duration { return time.Duration(h.wait.Load()) + h.probe.Expected() },
+		ExpectedWait: func() time.Duration { return time.Duration(h.wait.Load()) + h.probe.ExpectedWait() },
 	})
 	limiter := newLimiter(h, handler, 112)
 	limiter.onAdmitted = func() {
--- a/internal/edge/node/limiter.go
+++ b/internal/edge/node/limiter.go
@@ -65,7 +65,7 @@
 		shed:         h.Shed,
 		maxShedding:  maxShedding,
 		reject:       h.NewEarlyRejecter().Reject,
-		refusing:     h.Refusing,
+		refusing:     h.SheddingLoad,
 		expectedWait: h.ExpectedWait,
 		onAdmitted:   func() {},
 		onOpenFailed: func(error) {},
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -90,26 +90,26 @@
 	n.probe = pressure.New(s.Cores, time.Now)
 	n.clock = clock.New()
 	n.state = state.New(s.DataCentre, s.RetryRatio, s.RetrySlack, n.clock.Now)
-	n.state.SetSelf(s.Control)
-	n.state.SetColdRateBound(slowstart.RateBound{Factor: s.ColdOver, ExtraPerSecond: s.ColdSlack})
+	n.state.SetSelf(s.ControlAddr)
+	n.state.SetColdRateBound(slowstart.RateBound{Factor: s.SlowStartFactor, ExtraPerSecond: s.SlowStartSlack})
 	n.state.SetRegions(s.Regions)
 	n.state.SetRolloutBounds(rolloutBounds(s))
-	n.store = platform.NewStore(s.Store)
+	n.store = platform.NewStore(s.StoreAddr)
 	n.pool = upstream.NewPool(n.clock.Now)
 	n.handler = front.New(front.Config{
-		State:   n.state,
-		Pool:    n.pool,
-		Headers: platform.Headers{},
-		Log:     log,
-		Meter:   n.meter,
-		Now:     n.clock.Now,
-		OneIn:   s.LogOneInThis,
-		MaxHeld: int64(float64(s.MemoryMB<<20) * bodyMemoryFraction),
+		State:            n.state,
+		Pool:             n.pool,
+		Headers:          platform.Headers{},
+		Log:              log,
+		Meter:            n.meter,
+		Now:              n.clock.Now,
+		LogSampling:      s.LogSampling,
+		MaxBufferedBytes: int64(float64(s.MemoryMB<<20) * bodyMemoryFraction),
 
 		ProcessorWait: n.probe.Wait,
-		ExpectedWait:  n.probe.Expected,
+		ExpectedWait:  n.probe.ExpectedWait,
 		NearConnLimit: func() bool { return n.limiter.nearLimit() },
-		MaxRunning:    int64(s.MemoryMB * requestsPerMB),
+		MaxInFlight:   int64(s.MemoryMB * requestsPerMB),
 	})
 	n.callerServer = &http.Server{
 		Handler:           n.handler,
@@ -128,7 +128,7 @@
 
 // rolloutBounds returns the limits on traffic to a version that is not yet trusted.
 func rolloutBounds(s *settings.Settings) rollout.Bounds {
-	return rollout.Bounds{Share: s.ExposeShare, Slack: s.ExposeSlack}
+	return rollout.Bounds{Share: s.RolloutShare, Slack: s.RolloutSlack}
 }
 
 // listen opens the sockets and creates what depends on them.
@@ -137,10 +137,10 @@
 		listener *net.Listener
 		addr     string
 	}{
-		{&n.callerListener, n.settings.Callers},
-		{&n.readinessListener, n.settings.Ready},
-		{&n.controlListener, n.settings.Control},
-		{&n.metricsListener, n.settings.Metrics},
+		{&n.callerListener, n.settings.CallerAddr},
+		{&n.readinessListener, n.settings.ReadyAddr},
+		{&n.controlListener, n.settings.ControlAddr},
+		{&n.metricsListener, n.settings.MetricsAddr},
 	} {
 		if l.addr == "" {
 			continue
@@ -152,7 +152,7 @@
 		*l.listener = opened
 		events.ListenerStarted.Log(context.Background(), n.log, slog.LevelInfo, "addr", l.addr)
 	}
-	addr, err := net.ResolveUDPAddr("udp4", n.settings.Datagrams)
+	addr, err := net.ResolveUDPAddr("udp4", n.settings.DatagramAddr)
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 		return err
 	}
 	n.peers = peers.New(n.state, n.log, spread.Member{
-		Addr:       n.settings.Control,
+		Addr:       n.settings.ControlAddr,
 		DataCentre: n.settings.DataCentre,
 		Cores:      float32(n.settings.Cores),
 	}, conn, platform.DecodeConfig, n.probe.Wait, n.clock.Now)
@@ -200,7 +200,7 @@
 	n.addLoop(g, n.peers.Receive)
 	n.addLoop(g, n.maintain)
 	n.addLoop(g, n.probe.Run)
-	n.addLoop(g, func(ctx context.Context) error { return n.clock.Run(ctx, n.log, n.handler.Resumed) })
+	n.addLoop(g, func(ctx context.Context) error { return n.clock.Run(ctx, n.log, n.handler.CancelExpired) })
 	n.addLoop(g, n.maintainRegistration)
 	n.addLoop(g, func(ctx context.Context) error { return n.watchSettings(ctx, hup) })
 	n.addLoop(g, func(ctx context.Context) error { return n.drainOnSignal(ctx, term) })
@@ -302,7 +302,7 @@
 // logNoLongerLeaving logs and counts the servers that are no longer marked as leaving.
 func (n *Node) logNoLongerLeaving(ctx context.Context) {
 	for _, r := range n.state.TakeReturned() {
-		n.meter.Believed(r.Server.Service, "returned")
+		n.meter.HealthChange(r.Server.Service, "returned")
 		events.ServerReturned.Log(ctx, n.log, slog.LevelInfo, "server", r.Server.ID, "service", r.Server.Service, "why", r.Reason)
 	}
 }
@@ -327,7 +327,7 @@
 			registered = false // the store may have lost the address
 		}
 		if !registered && n.peers.ShouldRegister() {
-			if err := n.store.Register(ctx, n.settings.Control); err != nil {
+			if err := n.store.Register(ctx, n.settings.ControlAddr); err != nil {
 				events.StoreRegister.Log(ctx, n.log, slog.LevelWarn, "err", err)
 			} else {
 				registered = true
--- a/internal/edge/node/stop.go
+++ b/internal/edge/node/stop.go
@@ -76,16 +76,16 @@
 	start := time.Now()
 	n.draining.Store(true)
 	n.handler.Drain()
-	events.DrainStarted.Log(ctx, n.log, slog.LevelInfo, "running", n.handler.Running())
+	events.DrainStarted.Log(ctx, n.log, slog.LevelInfo, "running", n.handler.InFlight())
 	if !sleep(ctx, drainAcceptPeriod) {
 		return ctx.Err()
 	}
-	n.handler.Refuse()
-	shutdownCtx, cancel := context.WithDeadline(ctx, start.Add(n.settings.Grace-shutdownMargin))
+	n.handler.RefuseNew()
+	shutdownCtx, cancel := context.WithDeadline(ctx, start.Add(n.settings.ShutdownGrace-shutdownMargin))
 	defer cancel()
 	// Shutdown closes the listener and idle connections and waits for the rest.
 	err := n.callerServer.Shutdown(shutdownCtx)
-	events.DrainEnded.Log(ctx, n.log, slog.LevelInfo, "cut", n.handler.Running(), "tookMs", time.Since(start).Milliseconds(), "err", err)
+	events.DrainEnded.Log(ctx, n.log, slog.LevelInfo, "cut", n.handler.InFlight(), "tookMs", time.Since(start).Milliseconds(), "err", err)
 	return nil
 }
 
