--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -75,7 +75,7 @@
 	Digest       Digest        `cbor:"2,keyasint"`
 	Holder       msg.RequestID `cbor:"3,keyasint"`
 	Fence        uint64        `cbor:"4,keyasint"`           // fencing number; increases with each holder of the key
-	CallDeadline int64         `cbor:"5,keyasint"`           // Running: when the holder's call has ended at the latest; Unix ms
+	CallDeadline int64         `cbor:"5,keyasint"`           // Running: latest time at which the holder's call ends; Unix ms
 	RetainUntil  int64         `cbor:"6,keyasint"`           // after it the row is ignored and the key may be claimed again; Unix ms
 	Answer       *Answer       `cbor:"7,keyasint,omitempty"` // in state Done; nil if it was too large to keep
 }
--- a/internal/core/pick/pick.go
+++ b/internal/core/pick/pick.go
@@ -47,7 +47,8 @@
 	// preempted.
 	maxMemoryShare = 0.92
 	// recomputeCostFactor weights the time to recompute shared tokens that another server has
-	// cached, relative to that of tokens processed for the first time.
+	// cached, relative to that of tokens processed for the first time. It is above 1 because it
+	// stands for the price of processing tokens again, besides the engine time this takes.
 	recomputeCostFactor = 1.6
 	// fetchCostFactor is the same for the time to fetch tokens.
 	fetchCostFactor = 7.0
--- a/internal/core/pick/speed.go
+++ b/internal/core/pick/speed.go
@@ -15,16 +15,16 @@
 	initialTokensPerMs = 60.0
 	// initialBaseMs is the assumed fixed delay before a first token.
 	initialBaseMs = 25.0
-	// initialWeight is how many observations the initial assumption counts for, and initialTokens
-	// how many tokens these had to process.
+	// initialWeight is how many observations the initial assumption counts for. Half of them have
+	// no tokens to process, the other half initialTokens.
 	initialWeight = 4.0
 	initialTokens = 4000.0
-	// decayPerToken is by how much older observations lose weight with each first token, but they
-	// decay no faster than with the time constant minMemory. A router of a small fleet sees about
-	// 50 first tokens a second and 295 routers see 2,200, while the speed of an engine changes
-	// with its other load within a few seconds.
-	decayPerToken = 0.01
-	minMemory     = time.Second
+	// decayPerObservation is the fraction of their weight that older observations lose with each
+	// first token, but they decay no faster than with the time constant minDecayTime. A router of a
+	// small fleet sees about 50 first tokens a second and 295 routers see 2,200, while the speed of
+	// an engine changes with its other load within a few seconds.
+	decayPerObservation = 0.01
+	minDecayTime        = time.Second
 	// minTokensPerMs and maxTokensPerMs bound the learnt speed.
 	minTokensPerMs = 2.0
 	maxTokensPerMs = 2000.0
@@ -83,9 +83,9 @@
 
 // merge adds observations and decays the older ones.
 func (l *firstTokenFit) merge(f FirstTokenSums, now time.Time) {
-	retained := math.Pow(1-decayPerToken, f.N)
+	retained := math.Pow(1-decayPerObservation, f.N)
 	if !l.updatedAt.IsZero() {
-		retained = max(retained, math.Exp(-float64(now.Sub(l.updatedAt))/float64(minMemory)))
+		retained = max(retained, math.Exp(-float64(now.Sub(l.updatedAt))/float64(minDecayTime)))
 	}
 	l.updatedAt = now
 	l.sums = l.sums.scaled(retained).Plus(f)
@@ -115,8 +115,8 @@
 }
 
 // TakeFirstTokens returns the first tokens observed since the last call, by service, to be sent to
-// the other routers. In a fleet of 295 routers each sees six a second, so that a router that
-// starts would need 15 s to learn the speed of its engines alone.
+// the other routers. In a fleet of 295 routers each sees six a second, so that a router that has
+// just started would need 15 s to learn the speed of its engines from its own observations.
 func (p *Picker) TakeFirstTokens() map[string]FirstTokenSums {
 	firstTokens := p.pendingFirstTokens
 	p.pendingFirstTokens = map[string]FirstTokenSums{}
--- a/internal/core/pick/speed_test.go
+++ b/internal/core/pick/speed_test.go
@@ -12,19 +12,19 @@
 // millisecond) and the fixed delay before a first token (ms).
 var engines = []struct{ rate, base float64 }{{32, 10}, {38.7, 12}, {70, 47}, {112, 50}, {220, 9}}
 
-// observed is a fit that gets an observation every 20 ms.
-type observed struct {
+// timedFit is a fit that gets an observation every 20 ms.
+type timedFit struct {
 	firstTokenFit
 	now time.Time
 }
 
-func newObserved() *observed { return &observed{firstTokenFit: newFirstTokenFit(), now: at(0)} }
+func newTimedFit() *timedFit { return &timedFit{firstTokenFit: newFirstTokenFit(), now: at(0)} }
 
-func (w *observed) observe(x, y float64) {
-	w.now = w.now.Add(20 * time.Millisecond)
+func (o *timedFit) observe(x, y float64) {
+	o.now = o.now.Add(20 * time.Millisecond)
 	var one FirstTokenSums
-	one.add(x, w.clampOutlier(x, y), 1)
-	w.merge(one, w.now)
+	one.add(x, o.clampOutlier(x, y), 1)
+	o.merge(one, o.now)
 }
 
 // observeFirstTokens draws n first tokens of an engine after up to 8,000 prompt tokens, with times
@@ -41,7 +41,7 @@
 func TestEngineSpeedConvergesInTwoSeconds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, e := range engines {
-		l := newObserved()
+		l := newTimedFit()
 		observeFirstTokens(rng, 100, e.rate, e.base, l.observe)
 		rate, base := l.fit()
 		for _, x := range []float64{0, 1000, 4000, 8000} {
@@ -51,10 +51,10 @@
 	}
 }
 
-// An engine that becomes slower under load is estimated correctly after a few seconds.
+// When an engine becomes slower under load, the estimate of its speed follows within a few seconds.
 func TestFitFollowsSlowdown(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	l := newObserved()
+	l := newTimedFit()
 	observeFirstTokens(rng, 500, 112, 50, l.observe)
 	rate, _ := l.fit()
 	assert.Assert(t, rate > 100, "%g", rate)
@@ -63,10 +63,10 @@
 	assert.Assert(t, rate < 70, "%g", rate)
 }
 
-// A server that stalled for several seconds must not change the estimated processing speed.
+// A first token delayed by a stalled server must hardly change the estimated processing speed.
 func TestOutlierBarelyChangesFit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	l := newObserved()
+	l := newTimedFit()
 	observeFirstTokens(rng, 300, 112, 50, l.observe)
 	l.observe(500, 5000)
 	rate, base := l.fit()
@@ -75,7 +75,7 @@
 
 // If all prompts have the same length, the fit stays within its bounds.
 func TestEqualPromptsKeepFitBounded(t *testing.T) {
-	l := newObserved()
+	l := newTimedFit()
 	for range 5000 {
 		l.observe(0, 50)
 	}
@@ -109,9 +109,10 @@
 }
 
 // Guards against wrong estimates at a router that has just started. Of 295 routers in front of 160
-// engines each sees six first tokens a second, so that it would need 15 s to learn the speed
-// alone. With the reports of the others it needs a tenth of a second; until then it assumes 60
-// tokens per millisecond for engines that reach 38.7 and expects two thirds of each wait.
+// engines each sees six first tokens a second, so that it would need 15 s to learn the speed from
+// its own observations. With the reports of the others it needs a tenth of a second; until then it
+// assumes 60 tokens per millisecond for engines that reach 38.7 and estimates each wait at two
+// thirds of its real length.
 func TestNewRouterLearnsSpeedFromPeers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, e := range engines {
--- a/internal/core/rollout/decide.go
+++ b/internal/core/rollout/decide.go
@@ -60,7 +60,7 @@
 }
 
 // Decider decides on the progress of one roll-out at one router. Apart from times it has no state
-// that other routers lack, so the duty needs no handover.
+// that other routers lack, so another router takes over without a handover.
 type Decider struct {
 	Bounds      Bounds
 	windowStart Evidence // evidence at the start of the window
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -3,9 +3,9 @@
 // its answers are compared with those of the old version on the same routes over the same time.
 // Finally all requests go to the new version, and the old servers may stop.
 //
-// There is no leader election. Any router on duty may write the next phase to the platform's store,
-// with a conditional write: phases only advance, and final phases never change. The other routers
-// learn of phases from each other. A router sends requests to the new version only while it has a
+// There is no leader election. Any router that follows the platform's store may write the next phase
+// to it, with a conditional write: phases only advance, and final phases never change. The other
+// routers learn of phases from each other. A router sends requests to the new version only while it has a
 // recent confirmation that it may: one that is partitioned, frozen or just started sends none.
 //
 // The package performs no I/O; time is passed in as an argument.
@@ -56,7 +56,7 @@
 type OrderError string
 
 // Error implements error.
-func (f OrderError) Error() string { return string(f) }
+func (e OrderError) Error() string { return string(e) }
 
 // The errors of an order.
 const (
@@ -152,45 +152,45 @@
 // Merge merges a record that was confirmed age ago and reports whether anything changed. A record
 // that is already known counts as a new confirmation.
 func (l *List) Merge(r Record, age time.Duration, now time.Time) bool {
-	b := l.services[r.Order.Service]
+	s := l.services[r.Order.Service]
 	switch {
-	case b == nil && len(l.services) >= maxOrders:
+	case s == nil && len(l.services) >= maxOrders:
 		return false
-	case b == nil:
-		b = &state{deniedVersions: map[string]bool{}}
-		l.services[r.Order.Service] = b
-	case r.Supersedes(b.Record):
-		if b.Phase == RolledBack || b.Phase == Halted {
-			b.deniedVersions[b.Order.To] = true
+	case s == nil:
+		s = &state{deniedVersions: map[string]bool{}}
+		l.services[r.Order.Service] = s
+	case r.Supersedes(s.Record):
+		if s.Phase == RolledBack || s.Phase == Halted {
+			s.deniedVersions[s.Order.To] = true
 		}
 	default:
-		if !b.Record.Supersedes(r) && b.Phase == r.Phase {
-			b.confirm(now.Add(-age))
+		if !s.Record.Supersedes(r) && s.Phase == r.Phase {
+			s.confirm(now.Add(-age))
 		}
 		return false
 	}
-	delete(b.deniedVersions, r.Order.To)
-	b.Record = r
-	b.phaseSince = now
-	b.confirmedAt = time.Time{}
-	b.confirm(now.Add(-age))
+	delete(s.deniedVersions, r.Order.To)
+	s.Record = r
+	s.phaseSince = now
+	s.confirmedAt = time.Time{}
+	s.confirm(now.Add(-age))
 	l.changes++
 	return true
 }
 
-func (b *state) confirm(at time.Time) {
-	if at.After(b.confirmedAt) {
-		b.confirmedAt = at
+func (s *state) confirm(at time.Time) {
+	if at.After(s.confirmedAt) {
+		s.confirmedAt = at
 	}
 }
 
 // Record returns the record of a service's roll-out.
 func (l *List) Record(service string) (Record, bool) {
-	b := l.services[service]
-	if b == nil {
+	s := l.services[service]
+	if s == nil {
 		return Record{}, false
 	}
-	return b.Record, true
+	return s.Record, true
 }
 
 // AgedRecord is a record as exchanged between routers.
@@ -202,8 +202,8 @@
 // Records returns all records, ordered by service.
 func (l *List) Records(now time.Time) (list []AgedRecord) {
 	for _, service := range slices.Sorted(maps.Keys(l.services)) {
-		b := l.services[service]
-		list = append(list, AgedRecord{b.Record, now.Sub(b.confirmedAt)})
+		s := l.services[service]
+		list = append(list, AgedRecord{s.Record, now.Sub(s.confirmedAt)})
 	}
 	return list
 }
@@ -221,15 +221,15 @@
 // Group returns the group of a server of the service that runs the given version. All servers of a
 // service without an order are in GroupServing.
 func (l *List) Group(service, version string) Group {
-	b := l.services[service]
-	if b == nil {
+	s := l.services[service]
+	if s == nil {
 		return GroupServing
 	}
-	if b.deniedVersions[version] {
+	if s.deniedVersions[version] {
 		return GroupExcluded
 	}
-	isNew := version == b.Order.To
-	switch b.Phase {
+	isNew := version == s.Order.To
+	switch s.Phase {
 	case Canary:
 		if isNew {
 			return GroupCanary
@@ -249,14 +249,14 @@
 // CanaryAllowed reports whether this router may send requests to the service's canary servers now,
 // which requires a recent confirmation.
 func (l *List) CanaryAllowed(service string, now time.Time) bool {
-	b := l.services[service]
-	return b != nil && b.Phase == Canary && now.Sub(b.confirmedAt) < confirmationTTL
+	s := l.services[service]
+	return s != nil && s.Phase == Canary && now.Sub(s.confirmedAt) < confirmationTTL
 }
 
 // PhaseAge returns how long this router has known of the current phase of the service's roll-out.
 func (l *List) PhaseAge(service string, now time.Time) time.Duration {
-	if b := l.services[service]; b != nil {
-		return now.Sub(b.phaseSince)
+	if s := l.services[service]; s != nil {
+		return now.Sub(s.phaseSince)
 	}
 	return 0
 }
@@ -264,11 +264,11 @@
 // InProgress reports whether the service's roll-out is in progress, so that its servers' answers are
 // evaluated, and to which version it goes.
 func (l *List) InProgress(service string) (to string, ok bool) {
-	b := l.services[service]
-	if b == nil || b.Phase.Final() || b.Phase == Ordered {
+	s := l.services[service]
+	if s == nil || s.Phase.Final() || s.Phase == Ordered {
 		return "", false
 	}
-	return b.Order.To, true
+	return s.Order.To, true
 }
 
 // Any reports whether any roll-outs are known.
--- a/internal/core/share/register.go
+++ b/internal/core/share/register.go
@@ -176,8 +176,8 @@
 	return w != nil && n.now-w.at > 2*n.cfg.WidenDelay
 }
 
-// register registers the queue with an admitter, unless the admitter's last
-// registration is close enough.
+// register registers count requests of the queue with an admitter. Unless always
+// is set, it sends nothing if the last count sent is within a factor of two.
 func (e *entry) register(q *queue, to msg.RouterID, count int, always bool) {
 	last := q.registrations[to]
 	if last == nil {
@@ -230,8 +230,8 @@
 	}
 }
 
-// sendDemand tells the pool's directory how many requests wait, unless the last
-// number sent is close enough.
+// sendDemand tells the pool's directory how many requests wait, unless a
+// similar number was sent recently.
 func (e *entry) sendDemand(p *entryPool, always bool) {
 	n := p.waiting
 	if len(p.admitters) > 0 && !always && p.reportedDemand == 0 {
--- a/internal/core/share/view.go
+++ b/internal/core/share/view.go
@@ -24,7 +24,7 @@
 	Weight         float64 `json:"weight"`
 	LocalServed    float64 `json:"served"` // weighted service granted here while backlogged
 	FleetServed    float64 `json:"level"`  // estimated weighted service by the fleet
-	Floor          float64 `json:"floor"`  // least total of the pool's backlogged customers
+	Floor          float64 `json:"floor"`  // least weighted service of the pool's backlogged customers
 	CustomersAhead int     `json:"ahead"`  // customers waiting here that are served first
 }
 
--- a/internal/core/spread/membership_test.go
+++ b/internal/core/spread/membership_test.go
@@ -12,10 +12,10 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// A fleet of 986 routers in five data centres with ten large hosts each, and both reporters of one
-// data centre fail at the same moment. Its routers know the others of their data centre only
-// through the reporters. They must not take the others for lost and must not query the store, and
-// they must report to the next-ranked routers before a missing report is noticed.
+// In a fleet of 986 routers in five data centres with ten large hosts each, both reporters of one
+// data centre fail at the same moment. The other routers there know each other only through the
+// reporters. They must not take each other for lost and must not query the store, and they must
+// report to the next-ranked routers before a missing report is noticed.
 func TestBothReportersOfADataCentreFailAtOnce(t *testing.T) {
 	s := New(Member{Addr: "10.1.9.99:1", DataCentre: "a", Cores: 0.2})
 	for i := range 200 {
--- a/internal/core/spread/ranking.go
+++ b/internal/core/spread/ranking.go
@@ -16,8 +16,9 @@
 	// maxTopRankedAge is the age at which a report of a top-ranked router is no longer passed on.
 	// Without a limit, routers would pass it to each other indefinitely.
 	maxTopRankedAge = 3 * LiveTimeout
-	// maxReaders is how many routers of a large fleet follow the store for all others: calls are
-	// priced, and one or two readers may be lost without a missing report.
+	// maxReaders is how many routers of a large fleet follow the store for all others. There are few
+	// because each call to the store costs money, and three because one or two of them may be lost
+	// without a missing report.
 	maxReaders = 3
 	// initialFallbackReaders is how many routers of a data centre follow the store as soon as the
 	// readers' answers are overdue. The number doubles every fallbackDoublingTime. It is limited
--- a/internal/core/spread/spread.go
+++ b/internal/core/spread/spread.go
@@ -83,7 +83,7 @@
 	liveCount int // live routers in known
 	// reportedSize is the fleet size according to a peer, for a router that knows few others yet.
 	reportedSize  int
-	readers       []string  // nil if not computed
+	readers       []string  // routers that follow the store; nil if not computed
 	lastScan      time.Time // last scan by Tick
 	reporterSince time.Time // zero if this router is not a reporter
 	directAt      time.Time // last direct report of any router
@@ -114,7 +114,7 @@
 	e.seed = e.seed || seed
 }
 
-// updateMember applies the data centre and size from a report.
+// updateMember applies the data centre and the processor time from a report.
 func (v *View) updateMember(e *entry, m Member) {
 	live := e.live
 	v.markSilent(e)
