--- a/internal/core/attempt/allowance.go
+++ b/internal/core/attempt/allowance.go
@@ -3,27 +3,26 @@
 import "time"
 
 // The retry allowance is the token bucket of Marc Brooker's talk
-// (PAPER-marc-brooker-talk-lessons-27e8.md): a retry takes a whole token, a
-// success puts back a small part of one. In the steady state retries add at
-// most the percentage to the load, however many requests fail.
+// (PAPER-marc-brooker-talk-lessons-27e8.md): a retry takes a whole token, and a success adds a small
+// fraction of one. In the steady state retries increase the load by at most that percentage, however
+// many requests fail.
 const (
-	allowanceCap   = 10.0 // tokens, so also the burst of retries after a quiet time
-	allowanceStart = 3.0  // tokens of a router that has seen no success yet
+	allowanceCap   = 10.0 // tokens, and thus the largest burst of retries after a period without any
+	allowanceStart = 3.0  // initial tokens of a router that has seen no success yet
 	retryCost      = 1.0
 	percent        = 100.0
 )
 
-// Allowance is the retry allowance of one pool at one router. It is not safe
-// for concurrent use.
+// Allowance is the retry allowance of one pool at one router. It is not safe for concurrent use.
 type Allowance struct {
 	tokens float64
 }
 
-// NewAllowance returns an allowance with the small start that a router without
-// memory has.
+// NewAllowance returns an allowance with the small initial balance of a router that has just
+// started.
 func NewAllowance() *Allowance { return &Allowance{tokens: allowanceStart} }
 
-// Succeeded puts back retryPercent/100 of a token.
+// Succeeded adds retryPercent/100 of a token for a successful request.
 func (a *Allowance) Succeeded(retryPercent float64) {
 	if retryPercent <= 0 {
 		return
@@ -31,7 +30,7 @@
 	a.tokens = min(allowanceCap, a.tokens+retryPercent/percent)
 }
 
-// Take reports whether a retry is allowed, and takes its token.
+// Take takes a token for a retry and reports whether one was available.
 func (a *Allowance) Take() bool {
 	if a.tokens < retryCost {
 		return false
@@ -40,22 +39,20 @@
 	return true
 }
 
-// Tokens returns what is left, for the metrics.
+// Tokens returns the number of tokens left, for the metrics.
 func (a *Allowance) Tokens() float64 { return a.tokens }
 
-// The bounds of the wait before a retry: the base is doubled with each attempt,
-// up to the cap.
+// The bound of the delay before a retry is backoffBase, doubled with each attempt, up to backoffCap.
 const (
 	backoffBase = 10 * time.Millisecond
 	backoffCap  = 500 * time.Millisecond
-	// maxDoublings is the most that are needed: base << maxDoublings is above
-	// the cap.
+	// maxDoublings limits the shift: backoffBase << maxDoublings exceeds backoffCap.
 	maxDoublings = 6
 )
 
-// Backoff returns how long to wait before the retry that follows attempt
-// number n (from 1): full jitter over an exponential bound, as the talk
-// advises against synchronised clients. u is uniform in [0,1).
+// Backoff returns the delay before the retry that follows attempt number n (from 1), with full
+// jitter below an exponential bound, as the talk recommends to avoid synchronised clients. u is
+// uniform in [0,1).
 func Backoff(n int, u float64) time.Duration {
 	bound := min(backoffCap, backoffBase<<min(n-1, maxDoublings))
 	return time.Duration(u * float64(bound))
--- a/internal/core/attempt/allowance_test.go
+++ b/internal/core/attempt/allowance_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Over any run of successes and retries, the retries are at most the start,
-// the percentage of the successes, and never a burst above the cap.
+// For any sequence of successes and retries, the number of retries is at most the initial balance
+// plus the percentage of the successes, and no burst exceeds the cap.
 func TestAllowanceBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewAllowance()
@@ -47,7 +47,7 @@
 	}
 }
 
-// However long all goes well, the allowance holds ten retries.
+// After any number of successes the allowance holds at most ten retries.
 func TestAllowanceIsCapped(t *testing.T) {
 	a := NewAllowance()
 	for range 10_000 {
--- a/internal/core/attempt/outcome.go
+++ b/internal/core/attempt/outcome.go
@@ -1,34 +1,34 @@
-// Package attempt decides what may be said and done after an attempt to run a
-// request at a backend server has ended. It has no input or output.
+// Package attempt decides what may be reported and done after an attempt to run a request at a
+// backend server has ended. It performs no I/O.
 package attempt
 
-// Outcome is what is known of one attempt once it is over.
+// Outcome is the known result of an attempt that is over.
 type Outcome int
 
 // The outcomes of an attempt.
 const (
-	NotSent Outcome = iota + 1 // no byte of the request left this process
-	Refused                    // the server refused it before running it
-	Ended                      // the server answered, wholly
-	Unknown                    // it may have run, wholly or in part
+	NotSent   Outcome = iota + 1 // no byte of the request left this process
+	Refused                      // the server refused the request before running it
+	Completed                    // the server gave a complete answer
+	Unknown                      // the request may have run, wholly or in part
 )
 
 var outcomeNames = map[Outcome]string{
-	NotSent: "not-sent",
-	Refused: "refused",
-	Ended:   "ended",
-	Unknown: "unknown",
+	NotSent:   "not-sent",
+	Refused:   "refused",
+	Completed: "ended",
+	Unknown:   "unknown",
 }
 
-// String returns the outcome's name as metrics and logs show it.
+// String returns the outcome's name in metrics and logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// MayHaveRun says whether the request may have run, wholly or in part.
+// MayHaveRun reports whether the request may have run, wholly or in part.
 func (o Outcome) MayHaveRun() bool { return o != NotSent && o != Refused }
 
-// Ran says what a refusal may tell the caller in Windscale-Run: "no" only if
-// the request has certainly not run.
-func (o Outcome) Ran() string {
+// RunHeader returns the value of the Windscale-Run header of a refusal: "no" only if the request has
+// certainly not run.
+func (o Outcome) RunHeader() string {
 	if o.MayHaveRun() {
 		return "unknown"
 	}
--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -1,44 +1,41 @@
-// Package budget bounds how often a router sends a request to a second server.
-// The fleet has one budget for each service: a part of its requests and a
-// fixed slack in each window. Each router spends an even share of it without
-// asking anyone, so that the bound holds with no answer from anyone and after
-// every restart. The bucket is that of Marc Brooker's talk
+// Package budget limits how often a router sends a request to a second server. The fleet has one
+// budget per service: a ratio of its requests plus a fixed slack, in each window. Each router spends
+// an even share of it without coordination, so that the limit holds while other routers are
+// unreachable and after every restart. The token bucket follows Marc Brooker's talk
 // (PAPER-marc-brooker-talk-lessons-27e8.md).
 package budget
 
-// use is the part of the fleet's budget that routers spend: the window of the
-// requests that count and that of the retries need not agree.
-const use = 0.7
+// usableShare is the part of the fleet's budget that routers spend: the windows in which requests
+// and retries are counted need not coincide.
+const usableShare = 0.7
 
-// startShare is the part of a full bucket that a router begins with. Routers
-// that were restarted within one window begin anew, so it is small.
-const startShare = 0.25
+// initialFill is the part of a full bucket that a router starts with. It is small because routers
+// that restart within one window start with a new bucket.
+const initialFill = 0.25
 
-// Bucket is the budget of one service at one router. It is not safe for
-// concurrent use.
+// Bucket is one router's share of the budget of a service. It is not safe for concurrent use.
 type Bucket struct {
 	tokens float64
 	ratio  float64
 	size   float64
 }
 
-// New returns the share of one of n routers in a budget of ratio x requests +
-// slack in a window.
+// New returns the share of one of n routers in a budget of ratio x requests + slack per window.
 func New(ratio, slack float64, n int) *Bucket {
-	size := max(slack*use/float64(max(n, 1)), 1)
-	return &Bucket{ratio: ratio * use, size: size, tokens: max(size*startShare, 1)}
+	size := max(slack*usableShare/float64(max(n, 1)), 1)
+	return &Bucket{ratio: ratio * usableShare, size: size, tokens: max(size*initialFill, 1)}
 }
 
-// Resize changes the number of routers that share the budget.
+// Resize adjusts the bucket to a new slack and number of routers.
 func (b *Bucket) Resize(slack float64, n int) {
-	b.size = max(slack*use/float64(max(n, 1)), 1)
+	b.size = max(slack*usableShare/float64(max(n, 1)), 1)
 	b.tokens = min(b.tokens, b.size)
 }
 
-// Request counts a request of a caller.
-func (b *Bucket) Request() { b.tokens = min(b.size, b.tokens+b.ratio) }
+// RecordRequest adds the tokens earned by one request of a caller.
+func (b *Bucket) RecordRequest() { b.tokens = min(b.size, b.tokens+b.ratio) }
 
-// Take reports whether a request may be sent once more, and takes it off.
+// Take takes a token for sending a request again and reports whether one was available.
 func (b *Bucket) Take() bool {
 	if b.tokens < 1 {
 		return false
@@ -47,5 +44,5 @@
 	return true
 }
 
-// Tokens returns what is left.
+// Tokens returns the number of tokens left.
 func (b *Bucket) Tokens() float64 { return b.tokens }
--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -1,8 +1,8 @@
-// Package evacuation keeps which data centres are evacuated: nothing is sent to their servers
-// until the operator takes that back. It has no input or output; time comes in as an argument.
+// Package evacuation tracks which data centres are evacuated: no requests are sent to their servers
+// until the operator ends the evacuation. It performs no I/O; time is passed in as an argument.
 //
-// Invariants: the rows are the store's as of the stamp, so that equal stamps mean equal rows;
-// what a router believes beyond them ends by itself.
+// Invariants: the rows are those of the store at the stamp, so that equal stamps imply equal rows;
+// any state beyond the rows expires by itself.
 package evacuation
 
 import (
@@ -14,58 +14,59 @@
 )
 
 const (
-	// keptFor is how long an evacuation stays in force whose row a copy lacks from which the
-	// store has come back: the operator writes it again within some moments.
-	keptFor = 5 * time.Second
-	// endedFor is how long it is remembered when an evacuation was taken back.
-	endedFor = time.Minute
-	// endedTold is the age up to which others are believed about that: were it the same, two
-	// routers would remind each other for ever.
-	endedTold = endedFor / 2
+	// restoreGracePeriod is how long an evacuation stays in force if the store was restored from a
+	// backup that lacks its row: the operator writes it again shortly afterwards.
+	restoreGracePeriod = 5 * time.Second
+	// endedRetention is how long the end of an evacuation is remembered.
+	endedRetention = time.Minute
+	// maxReportedEndAge is the age up to which ends reported by other routers are accepted. If it
+	// were equal to endedRetention, two routers would keep renewing each other's entries forever.
+	maxReportedEndAge = endedRetention / 2
 )
 
-// List is one router's. It is not safe for concurrent use.
+// List is one router's list of evacuations. It is not safe for concurrent use.
 type List struct {
-	stamp roster.Stamp
-	rows  map[string]bool
-	kept  map[string]time.Time // not in the rows and still in force, until when
-	ended map[string]time.Time // when each was seen taken back
+	stamp    roster.Stamp
+	rows     map[string]bool
+	retained map[string]time.Time // expiry of evacuations that are in force without a row
+	endedAt  map[string]time.Time // when each evacuation was seen to have ended
 }
 
 // New returns an empty list.
 func New() *List {
-	return &List{rows: map[string]bool{}, kept: map[string]time.Time{}, ended: map[string]time.Time{}}
+	return &List{rows: map[string]bool{}, retained: map[string]time.Time{}, endedAt: map[string]time.Time{}}
 }
 
-// Stamp returns what the rows are as of.
+// Stamp returns the stamp of the rows.
 func (l *List) Stamp() roster.Stamp { return l.stamp }
 
-// In reports whether the data centre is evacuated.
-func (l *List) In(dataCentre string) bool {
-	_, kept := l.kept[dataCentre]
-	return kept || l.rows[dataCentre]
+// Evacuated reports whether the data centre is evacuated.
+func (l *List) Evacuated(dataCentre string) bool {
+	_, isRetained := l.retained[dataCentre]
+	return isRetained || l.rows[dataCentre]
 }
 
-// All returns the evacuated data centres in order.
+// All returns the evacuated data centres, sorted.
 func (l *List) All() []string {
 	all := maps.Clone(l.rows)
-	for dc := range l.kept {
+	for dc := range l.retained {
 		all[dc] = true
 	}
 	return slices.Sorted(maps.Keys(all))
 }
 
-// Ended returns when each data centre was taken back that was so lately. It is not to be changed.
-func (l *List) Ended() map[string]time.Time { return l.ended }
+// RecentlyEnded returns the data centres whose evacuation has recently ended, with the time of the
+// end. The caller must not modify the map.
+func (l *List) RecentlyEnded() map[string]time.Time { return l.endedAt }
 
-// Replace takes all rows anew, as of the stamp, unless they are older than those known. It
-// reports whether they were taken.
-func (l *List) Replace(rows []string, as roster.Stamp, now time.Time) bool {
-	if l.stamp.After(as) {
+// Replace replaces all rows by those at the given stamp, unless they are older than the known ones,
+// and reports whether it did.
+func (l *List) Replace(rows []string, stamp roster.Stamp, now time.Time) bool {
+	if l.stamp.After(stamp) {
 		return false
 	}
-	returned := as.Era > l.stamp.Era && l.stamp != (roster.Stamp{})
-	l.stamp = as
+	restored := stamp.Era > l.stamp.Era && l.stamp != (roster.Stamp{})
+	l.stamp = stamp
 	before := l.rows
 	l.rows = map[string]bool{}
 	for _, dc := range rows {
@@ -74,8 +75,8 @@
 	for dc := range before {
 		switch {
 		case l.rows[dc]:
-		case returned:
-			l.kept[dc] = now.Add(keptFor)
+		case restored:
+			l.retained[dc] = now.Add(restoreGracePeriod)
 		default:
 			l.end(dc, now)
 		}
@@ -83,16 +84,17 @@
 	return true
 }
 
-// Apply takes changed rows, as of the stamp.
-func (l *List) Apply(set, gone []string, as roster.Stamp, now time.Time) bool {
-	if len(set)+len(gone) == 0 || l.stamp.After(as) {
+// Apply applies changed rows at the given stamp, unless they are older than the known ones, and
+// reports whether it did.
+func (l *List) Apply(set, removed []string, stamp roster.Stamp, now time.Time) bool {
+	if len(set)+len(removed) == 0 || l.stamp.After(stamp) {
 		return false
 	}
-	l.stamp = as
+	l.stamp = stamp
 	for _, dc := range set {
 		l.set(dc)
 	}
-	for _, dc := range gone {
+	for _, dc := range removed {
 		delete(l.rows, dc)
 		l.end(dc, now)
 	}
@@ -101,71 +103,71 @@
 
 func (l *List) set(dataCentre string) {
 	l.rows[dataCentre] = true
-	delete(l.kept, dataCentre)
-	delete(l.ended, dataCentre)
+	delete(l.retained, dataCentre)
+	delete(l.endedAt, dataCentre)
 }
 
 func (l *List) end(dataCentre string, now time.Time) {
-	delete(l.kept, dataCentre)
-	l.ended[dataCentre] = now
+	delete(l.retained, dataCentre)
+	l.endedAt[dataCentre] = now
 }
 
-// Tick ends what a copy lacked and was not written again, and reports whether there was any.
+// Tick ends the evacuations whose grace period has expired and reports whether there were any.
 func (l *List) Tick(now time.Time) (changed bool) {
-	for dc, until := range l.kept {
+	for dc, until := range l.retained {
 		if !now.Before(until) {
 			l.end(dc, now)
 			changed = true
 		}
 	}
-	maps.DeleteFunc(l.ended, func(_ string, at time.Time) bool { return now.Sub(at) > endedFor })
+	maps.DeleteFunc(l.endedAt, func(_ string, at time.Time) bool { return now.Sub(at) > endedRetention })
 	return changed
 }
 
-// Told is a list as one router tells it to another.
-type Told struct {
+// Snapshot is a list as exchanged between routers.
+type Snapshot struct {
 	Rows  []string
-	Kept  map[string]time.Duration // for how much longer
-	Ended map[string]time.Duration // how long ago
+	Kept  map[string]time.Duration // remaining time
+	Ended map[string]time.Duration // time since the end
 }
 
-// Told returns the list for other routers.
-func (l *List) Told(now time.Time) Told {
-	t := Told{Rows: slices.Sorted(maps.Keys(l.rows))}
-	if len(l.kept) > 0 {
+// Snapshot returns the list for other routers.
+func (l *List) Snapshot(now time.Time) Snapshot {
+	t := Snapshot{Rows: slices.Sorted(maps.Keys(l.rows))}
+	if len(l.retained) > 0 {
 		t.Kept = map[string]time.Duration{}
 	}
-	for dc, until := range l.kept {
+	for dc, until := range l.retained {
 		t.Kept[dc] = until.Sub(now)
 	}
-	if len(l.ended) > 0 {
+	if len(l.endedAt) > 0 {
 		t.Ended = map[string]time.Duration{}
 	}
-	for dc, at := range l.ended {
+	for dc, at := range l.endedAt {
 		t.Ended[dc] = now.Sub(at)
 	}
 	return t
 }
 
-// Take takes another router's list, unless it is older, and reports whether what is in force
-// or was taken back has changed.
-func (l *List) Take(t Told, as roster.Stamp, now time.Time) bool {
-	if l.stamp.After(as) {
+// Merge merges another router's list, unless it is older, and reports whether the evacuations in
+// force or the recently ended ones have changed.
+func (l *List) Merge(t Snapshot, stamp roster.Stamp, now time.Time) bool {
+	if l.stamp.After(stamp) {
 		return false
 	}
-	changed := l.stamp != as
+	changed := l.stamp != stamp
 	if changed {
-		l.Replace(t.Rows, as, now)
+		l.Replace(t.Rows, stamp, now)
 	}
 	for dc, left := range t.Kept {
-		if _, over := l.ended[dc]; !over && !l.In(dc) && left > 0 {
-			l.kept[dc] = now.Add(min(left, keptFor))
+		if _, hasEnded := l.endedAt[dc]; !hasEnded && !l.Evacuated(dc) && left > 0 {
+			l.retained[dc] = now.Add(min(left, restoreGracePeriod))
 			changed = true
 		}
 	}
 	for dc, age := range t.Ended {
-		if _, known := l.ended[dc]; !known && !l.In(dc) && age >= 0 && age < endedTold {
-			l.ended[dc] = now.Add(-age)
+		if _, hasEnded := l.endedAt[dc]; !hasEnded && !l.Evacuated(dc) && age >= 0 && age < maxReportedEndAge {
+			l.endedAt[dc] = now.Add(-age)
 			changed = true
 		}
 	}
--- a/internal/edge/peers/heartbeat.go
+++ b/internal/edge/peers/heartbeat.go
@@ -160,13 +160,13 @@
 }
 
 // evacuations are the sender's, as they were when the heartbeat came.
-func (w heartbeat) evacuations(waited time.Duration) (evacuation.Told, roster.Stamp) {
-	t := evacuation.Told{Rows: w.Evacuated, Kept: ofMillis(w.EvacKept, 0), Ended: ofMillis(w.EvacEnded, waited)}
+func (w heartbeat) evacuations(waited time.Duration) (evacuation.Snapshot, roster.Stamp) {
+	t := evacuation.Snapshot{Rows: w.Evacuated, Kept: ofMillis(w.EvacKept, 0), Ended: ofMillis(w.EvacEnded, waited)}
 	return t, roster.Stamp{Era: w.EvacEra, Version: w.Evac}
 }
 
 // setEvacuations has the heartbeat tell this router's evacuations.
-func (w *heartbeat) setEvacuations(t evacuation.Told, as roster.Stamp) {
+func (w *heartbeat) setEvacuations(t evacuation.Snapshot, as roster.Stamp) {
 	w.Evac = as.Version
 	w.EvacEra = as.Era
 	w.Evacuated = t.Rows
--- a/internal/edge/peers/join.go
+++ b/internal/edge/peers/join.go
@@ -53,7 +53,7 @@
 	Ends    []contentCrashes // blocked contents, and those that may be soon
 	AllEnds bool             // the sender knows what the store had of them when it started
 	// Evacuations are the sender's, as of the stamp.
-	Evacuations   evacuation.Told
+	Evacuations   evacuation.Snapshot
 	EvacuationsAs roster.Stamp
 	Rollouts      []wireRollout
 }
@@ -390,7 +390,7 @@
 	servers     roster.Told
 	as          roster.Stamp
 	age         time.Duration // of the store's last answer on which it rests
-	evacuated   evacuation.Told
+	evacuated   evacuation.Snapshot
 	evacuatedAs roster.Stamp
 	crashes     []poison.Record
 	allEnds     bool
--- a/internal/edge/peers/older.go
+++ b/internal/edge/peers/older.go
@@ -30,7 +30,7 @@
 	AgeMs         int64
 	Routers       []knownRouter
 	Ends          []contentCrashes
-	Evacuations   evacuation.Told
+	Evacuations   evacuation.Snapshot
 	EvacuationsAs roster.Stamp
 	AllEnds       bool
 }
--- a/internal/edge/state/evacuation.go
+++ b/internal/edge/state/evacuation.go
@@ -43,14 +43,14 @@
 }
 
 // EvacuationsToldBy takes another router's list. Most heartbeats tell the list that is known.
-func (s *State) EvacuationsToldBy(t evacuation.Told, as roster.Stamp) Evacuations {
+func (s *State) EvacuationsToldBy(t evacuation.Snapshot, as roster.Stamp) Evacuations {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	nothingBeyond := len(t.Kept)+len(t.Ended) == 0
 	if as == (roster.Stamp{}) || as == s.evacuated.Stamp() && nothingBeyond {
 		return Evacuations{}
 	}
-	return s.evacuate(func(now time.Time) bool { return s.evacuated.Take(t, as, now) })
+	return s.evacuate(func(now time.Time) bool { return s.evacuated.Merge(t, as, now) })
 }
 
 // evacuate puts a change of the evacuations in force and tells what it is.
@@ -68,7 +68,7 @@
 	e.TakenBack = without(before, after)
 	s.setServers(now)
 	s.roster.EachCount(func(_, dataCentre string, n int) {
-		if s.evacuated.In(dataCentre) {
+		if s.evacuated.Evacuated(dataCentre) {
 			e.Servers += n
 		}
 	})
@@ -76,10 +76,10 @@
 }
 
 // EvacuationsTold returns the evacuated data centres for other routers.
-func (s *State) EvacuationsTold() (evacuation.Told, roster.Stamp) {
+func (s *State) EvacuationsTold() (evacuation.Snapshot, roster.Stamp) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.evacuated.Told(s.now()), s.evacuated.Stamp()
+	return s.evacuated.Snapshot(s.now()), s.evacuated.Stamp()
 }
 
 // EvacuatedCount returns how many data centres are evacuated.
--- a/internal/edge/state/place.go
+++ b/internal/edge/state/place.go
@@ -191,7 +191,7 @@
 
 // ask counts a request.
 func (s *State) ask(n Need, now time.Time) {
-	s.bucket(n.Service).Request()
+	s.bucket(n.Service).RecordRequest()
 	s.meter.Asked(n.Customer, n.tokens(), now)
 	s.accounts.Of(n.Customer).Asked += n.tokens()
 }
--- a/internal/edge/state/servers.go
+++ b/internal/edge/state/servers.go
@@ -246,7 +246,7 @@
 
 // noteTakenBack tells the picker which evacuations ended lately.
 func (s *State) noteTakenBack(now time.Time) {
-	for dc, at := range s.evacuated.Ended() {
+	for dc, at := range s.evacuated.RecentlyEnded() {
 		s.picker.TakenBack(dc, at, now)
 	}
 }
@@ -263,7 +263,7 @@
 			return
 		}
 		all += n
-		if !s.evacuated.In(dataCentre) {
+		if !s.evacuated.Evacuated(dataCentre) {
 			open += n
 		}
 	})
--- a/internal/metrics/sharing.go
+++ b/internal/metrics/sharing.go
@@ -36,7 +36,7 @@
 		c.notSent.Add(1)
 	case attempt.Refused:
 		c.refused.Add(1)
-	case attempt.Ended:
+	case attempt.Completed:
 		c.ended.Add(1)
 	case attempt.Unknown:
 		c.unknown.Add(1)
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -120,7 +120,7 @@
 	h.Set("Content-Type", contentType)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set("Cache-Control", "no-store")
-	h.Set(HeaderRun, info.Outcome.Ran())
+	h.Set(HeaderRun, info.Outcome.RunHeader())
 	if info.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(retrySeconds(info.RetryAfter)))
 	}
--- a/internal/proxy/claimed.go
+++ b/internal/proxy/claimed.go
@@ -116,7 +116,7 @@
 	case claim.Mismatch:
 		s.refuseKey(problem.ClaimMismatch, attempt.NotSent, 0)
 	case claim.AnswerLost:
-		s.refuseKey(problem.AnswerLost, attempt.Ended, 0)
+		s.refuseKey(problem.AnswerLost, attempt.Completed, 0)
 	default:
 		s.refuseKey(problem.OutcomeUnknown, attempt.Unknown, 0)
 	}
@@ -162,7 +162,7 @@
 	switch s.x.Outcome() {
 	case attempt.NotSent, attempt.Refused:
 		return claim.Result{State: claim.Free}
-	case attempt.Ended:
+	case attempt.Completed:
 		return claim.Result{State: claim.Done, Answer: s.stored()}
 	default:
 		return claim.Result{State: claim.Lost}
--- a/internal/proxy/model.go
+++ b/internal/proxy/model.go
@@ -80,7 +80,7 @@
 	s.sawFirst()
 	m.finish.First = m.p.Now().Sub(m.began)
 	m.answer = wholeAnswer{status: answer.Status, header: answer.Header, body: body}
-	return m.x.Step(m.event(attempt.Closing))
+	return m.x.Step(m.event(attempt.AnswerComplete))
 }
 
 // check accepts a whole completion, and an engine's complaint about the
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -31,13 +31,13 @@
 
 // modelRule: engines have no effect beyond their answer, so that a request may
 // run again until part of an answer has gone out.
-var modelRule = attempt.Rule{Repeat: true, Resume: true, MaxAttempts: maxAttempts, MaxResumes: maxResumes}
+var modelRule = attempt.Policy{Repeat: true, Resume: true, MaxAttempts: maxAttempts, MaxResumes: maxResumes}
 
 // serviceRule: only safe methods (RFC 9110, 9.2.1) that the settings don't list
 // as not to be repeated may run again after an unknown outcome. Other calls are
 // tried again only if they have certainly not run.
-func serviceRule(method string, once bool) attempt.Rule {
-	return attempt.Rule{Repeat: !once && isSafe(method), MaxAttempts: maxAttempts}
+func serviceRule(method string, once bool) attempt.Policy {
+	return attempt.Policy{Repeat: !once && isSafe(method), MaxAttempts: maxAttempts}
 }
 
 // isSafe reports whether the method changes nothing at the server.
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -40,7 +40,7 @@
 }
 
 // newRun prepares a request. close must follow.
-func (p *Proxy) newRun(w http.ResponseWriter, r *http.Request, c *settings.Customer, a arrival, pool msg.PoolID, rule attempt.Rule) *run {
+func (p *Proxy) newRun(w http.ResponseWriter, r *http.Request, c *settings.Customer, a arrival, pool msg.PoolID, rule attempt.Policy) *run {
 	deadline := a.at.Add(a.limit)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	return &run{
@@ -93,7 +93,7 @@
 		u.x.BeginAttempt()
 		action := u.attemptOnce(s, try)
 		if action == attempt.Retry && !u.mayRetry() {
-			action = u.x.Step(u.event(attempt.Denied))
+			action = u.x.Step(u.event(attempt.RetryDenied))
 		}
 		switch action {
 		case attempt.Retry:
@@ -101,7 +101,7 @@
 		case attempt.Finish:
 			u.p.succeeded(u.want.Pool, u.customer.RetryPercent)
 			return true
-		case attempt.Break:
+		case attempt.Abort:
 			u.breakCaller()
 		}
 		u.fail()
@@ -138,7 +138,7 @@
 
 // failureOf returns the attempt's last failure, nil if it ended well or had none.
 func (u *run) failureOf(o attempt.Outcome) *backend.Error {
-	if o == attempt.Ended {
+	if o == attempt.Completed {
 		return nil
 	}
 	return u.last
@@ -197,11 +197,11 @@
 	case e.Outcome == attempt.Refused:
 		return attempt.Refusal
 	case e.Foreign:
-		return attempt.Foreign
+		return attempt.Mismatch
 	case e.Err == backend.ErrStreamAbsent:
-		return attempt.CantResume
+		return attempt.ResumeUnavailable
 	default:
-		return attempt.Cut
+		return attempt.Interrupted
 	}
 }
 
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -79,7 +79,7 @@
 	}
 	action := s.failed(failure)
 	if action == attempt.Retry {
-		action = s.x.Step(s.event(attempt.Denied))
+		action = s.x.Step(s.event(attempt.RetryDenied))
 	}
 	return action
 }
@@ -97,7 +97,7 @@
 		return s.failed(failure)
 	}
 	s.answer = wholeAnswer{status: answer.Status, header: answer.Header, body: body, length: answer.Length}
-	return s.x.Step(s.event(attempt.Closing))
+	return s.x.Step(s.event(attempt.AnswerComplete))
 }
 
 // busy is the cost of a call to a plain service: how long it held its slot, in
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -75,7 +75,7 @@
 	for {
 		if !m.mayResume() {
 			m.cancelAt(s)
-			return nil, m.x.Step(m.event(attempt.Denied))
+			return nil, m.x.Step(m.event(attempt.RetryDenied))
 		}
 		from := m.x.Next()
 		m.x.BeginLeg()
@@ -188,7 +188,7 @@
 		return m.x.Step(m.event(attempt.Expired))
 	}
 	stream.Finish()
-	return m.x.Step(m.event(attempt.Closing))
+	return m.x.Step(m.event(attempt.AnswerComplete))
 }
 
 // sawToken measures the token that has come.
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -61,7 +61,7 @@
 		c.Answered(f.Total)
 	case !f.Outcome.MayHaveRun():
 		c.Refused(f.Problem)
-	case f.Outcome == attempt.Ended:
+	case f.Outcome == attempt.Completed:
 		c.Failed()
 	default:
 		c.Unknown()
